--- a/src/control/engine/advice.rs
+++ b/src/control/engine/advice.rs
@@ -1,8 +1,8 @@
-//! Asking which runners may run a step.
+//! Advice requests: which runners may run a step.
 //!
-//! What is approved for a step never changes, only tickets run out: approved and denied runners
-//! are remembered, and a step that waited is asked about anew only for approved runners that have
-//! room now.
+//! Approval of a runner for a step never changes, only its ticket expires. Approved and denied
+//! runners are therefore kept, and for a step that waited a new request names only approved runners
+//! that have free capacity now.
 
 use super::{Action, Engine, Now, RunnerKey};
 use crate::control::model::StepId;
@@ -12,52 +12,56 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3;
 
-/// A ticket must be good for this much longer than storing takes when a placement is decided, ms: the
-/// way of the start, and rounds that take long under load.
+/// When a placement is decided, its ticket must be valid for this much longer than storing takes,
+/// ms: covers the delay of the start, and of rounds that take long under load.
 const TICKET_MARGIN_MS: u64 = 250;
 
-/// Longest time of storing that is allowed for, ms: half of a ticket's life.
+/// Upper bound of the storing time in the margin of a ticket, ms: half of a ticket's validity.
 const STORING_MS: u64 = 1_000;
 
-/// Wait before asking again after a failure, ms; doubles with each further refusal, since questions
-/// that are refused because too many wait add to the load if they come again all together.
+/// Delay before a request is repeated after a failure, ms; doubles with each further refusal.
+/// Requests that are refused because the service is busy would add to its load if all were repeated
+/// together.
 const RETRY_ASK_MS: u64 = 200;
 
-/// Most doublings of [`RETRY_ASK_MS`]: 3.2 s, several times the longest question.
+/// Maximum number of doublings of [`RETRY_ASK_MS`]: 3.2 s, several times the longest request.
 const RETRY_DOUBLINGS: u32 = 4;
 
-/// When to ask about a step again after `refusals` in a row, ms from now: between half of the wait
-/// and all of it, drawn from the step, so that steps refused together do not come back together.
+/// Delay of the next request for a step after `refusals` consecutive refusals, ms: between half of
+/// the wait and all of it, derived from a hash of the step, so that steps refused together are not
+/// repeated together.
 fn backoff(step: StepId, refusals: u32) -> u64 {
     let wait = RETRY_ASK_MS << refusals.saturating_sub(1).min(RETRY_DOUBLINGS);
     let drawn = xxh3::xxh3_64(&(step.job.0 ^ u64::from(refusals)).to_le_bytes());
     wait / 2 + drawn % (wait / 2 + 1)
 }
 
-/// Time of the questions about patient steps that may be on their way, for each line, ms: one of a
-/// gang's, or a few others. More would only wait, and all questions with them, longer than a booking or
-/// a ticket lasts, so that they are asked anew. What waits here goes by rank instead.
+/// Service time of pending requests for non-urgent steps, for each connection, ms: one of a gang's
+/// requests, or a few others. More requests would only queue, all of them for longer than a
+/// reservation or a ticket is valid, and would have to be repeated. Steps wait in order of rank
+/// instead.
 const LINE_MS: f64 = 900.0;
 
-/// Part of these that gangs' questions may take. Those are long and come first by rank: without a part
-/// of their own other patient steps wait as long as there are gangs to ask about.
+/// Share of this time that gangs' requests may take. They are long and come first by rank: without
+/// a share of their own, other non-urgent steps would wait as long as there are gangs to request
+/// advice for.
 const GANGS_PART: f64 = 0.75;
 
-/// Most runners that the service takes in one question.
+/// Maximum number of runners that the service accepts in one request.
 pub const MOST_NAMED: usize = 100;
 
-/// What a question is about: which lines it may take, and how many of its kind at once.
+/// Kind of an advice request: decides how many requests may be pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// A step of an urgent queue: never held back.
+    /// For a step of an urgent queue; never held back.
     Urgent,
-    /// A gang.
+    /// For a gang of a non-urgent queue.
     Gang,
-    /// Another step.
+    /// For another step of a non-urgent queue.
     Patient,
 }
 
-/// Questions about a step that are on their way.
+/// Pending requests for a step.
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     kind: Kind,
@@ -66,28 +70,28 @@
     cost: f64,
 }
 
-/// All questions that are on their way.
+/// All pending requests.
 #[derive(Debug, Default)]
 pub(super) struct Questions {
     by_step: BTreeMap<StepId, Asked>,
-    /// Runners named in questions about steps whose tasks start one by one, and the room that each of
-    /// them will lose to it.
+    /// Runners named in requests for steps of single tasks, and the capacity that each is expected
+    /// to lose to the step.
     wanted: BTreeMap<StepId, (Vec<RunnerKey>, Resources)>,
-    /// Steps that are asked about, by part and whether their queue is patient.
+    /// Number of steps with pending requests, by partition and whether their queue is non-urgent.
     steps: BTreeMap<(Part, bool), usize>,
-    /// Time that the service takes for questions about patient steps that are gangs, ms.
+    /// Service time of pending requests for gangs of non-urgent queues, ms.
     gangs: f64,
-    /// ... and about other patient steps, ms.
+    /// Service time of pending requests for other steps of non-urgent queues, ms.
     others: f64,
 }
 
-/// What steps asked about are counted by.
+/// Key by which steps with pending requests are counted.
 fn key(step: StepId, kind: Kind) -> (Part, bool) {
     (Part::of(step.job), kind != Kind::Urgent)
 }
 
 impl Questions {
-    /// Adds to the time of questions of a kind.
+    /// Adds to the service time of the pending requests of a kind.
     fn add(&mut self, kind: Kind, cost: f64) {
         match kind {
             Kind::Urgent => {}
@@ -117,28 +121,30 @@
         }
         self.add(kind, -cost);
         if self.by_step.is_empty() {
-            // Rounding leaves a little.
+            // Removes accumulated rounding errors.
             (self.gangs, self.others) = (0.0, 0.0);
         }
     }
 
-    /// Notes the room that a step will take of runners named in its question.
+    /// Records the capacity that a step is expected to use on the runners named in its request.
     pub fn want(&mut self, step: StepId, named: Vec<RunnerKey>, each: Resources) {
         self.wanted.insert(step, (named, each));
     }
 
-    /// Runners named in a question that is answered, and the room of each that it wanted.
+    /// Removes the record of an answered request: the runners named, and the capacity that was
+    /// recorded for each.
     fn unwanted(&mut self, step: StepId) -> impl Iterator<Item = (RunnerKey, Resources)> {
         let (named, each) = self.wanted.remove(&step).unwrap_or_default();
         named.into_iter().map(move |k| (k, each))
     }
 
-    /// Steps of a part that are asked about, of urgent queues or of patient ones.
+    /// Number of steps of a partition with pending requests, of non-urgent queues or of urgent
+    /// ones.
     pub fn steps(&self, part: Part, patient: bool) -> usize {
         self.steps.get(&(part, patient)).copied().unwrap_or(0)
     }
 
-    /// Whether another question of this kind would only wait for one of `lines`.
+    /// Whether another request of this kind would only wait for one of `lines` connections.
     fn full(&self, kind: Kind, lines: usize) -> bool {
         let most = LINE_MS * lines as f64;
         let all = self.gangs + self.others >= most;
@@ -151,13 +157,13 @@
     }
 }
 
-/// Weight of a new answer in a queue's share, per mille: an average over some ten answers.
+/// Weight of a new answer in a queue's approval rate, per mille: averages over some ten answers.
 const SHARE_WEIGHT: u64 = 100;
 
-/// Share assumed before the first answer, per mille: low, so that enough runners are named.
+/// Approval rate assumed before the first answer, per mille: low, so that enough runners are named.
 const SHARE_FIRST: u64 = 300;
 
-/// Share of the runners named that a queue's policy approves, per mille.
+/// Share of the named runners that a queue's policy approves, per mille.
 #[derive(Clone, Copy, Debug)]
 pub struct Share(u64);
 
@@ -173,25 +179,25 @@
         self.0 = (self.0 * (1000 - SHARE_WEIGHT) + new * SHARE_WEIGHT) / 1000;
     }
 
-    /// Of `n`, how many are approved on average.
+    /// Average number of approved runners out of `n`.
     pub fn of(self, n: u64) -> u64 {
         n * self.0 / 1000
     }
 
-    /// Runners to name so that `n` are approved in all likelihood: half as many again as would
-    /// be on average, and two more.
+    /// Number of runners to name so that `n` are probably approved: one and a half times the
+    /// average need, and two more.
     pub fn name(self, n: usize) -> usize {
         (n as u64 * 1500).div_ceil(self.0.max(50)) as usize + 2
     }
 }
 
 impl Engine {
-    /// Whether another question of this kind would only wait for its line.
+    /// Whether another request of this kind would only wait for a connection.
     pub(super) fn lines_busy(&self, kind: Kind) -> bool {
         self.questions.full(kind, self.lines)
     }
 
-    /// Asks about runners for a step.
+    /// Requests advice about runners for a step.
     pub(super) fn ask(&mut self, step: StepId, ids: Vec<String>, kind: Kind, cost: f64, now: Now) {
         let Some(s) = self.step_mut(step) else { return };
         s.approvals.asking += 1;
@@ -203,13 +209,13 @@
         self.acts.push(Action::Ask { step, ids, cost_ms: cost });
     }
 
-    /// How much longer a ticket must be good when a placement of a step is decided, ms. What is decided
-    /// with less is stored in vain, and asked about again.
+    /// Validity that a ticket must have left when a placement of a step is decided, ms. A placement
+    /// with less would expire while it is stored, and its ticket would have to be requested again.
     pub(super) fn ticket_margin(&self, step: StepId) -> u64 {
         TICKET_MARGIN_MS + self.storing.took(Part::of(step.job)).min(STORING_MS)
     }
 
-    /// The advice service answered about `ids`.
+    /// Handles the advice service's answer to a request that named `ids`.
     pub fn advised(
         &mut self,
         step: StepId,
@@ -253,7 +259,7 @@
                 }
             }
             Err(e) => {
-                // A link that broke says nothing of the service: another one is there at once.
+                // A broken connection is no sign of load: another connection is available at once.
                 a.refusals = if e == AdviceError::Busy { a.refusals + 1 } else { 0 };
                 let wait = backoff(step, a.refusals);
                 a.retry_at = now.mono + wait;
--- a/src/control/engine/ask.rs
+++ b/src/control/engine/ask.rs
@@ -1,13 +1,15 @@
-//! Which runners a question about a step names.
+//! Selection of the runners that an advice request names.
 //!
-//! The load this answers: hundreds of runners in a cell that is four fifths full, where each step may
-//! run on a part of them that only a question tells. Questions cost mostly by the question, so
-//! that the lines to the service bound how many runners a second can be asked about.
+//! Needed for cells of hundreds of runners that are four fifths full, where each step may run on a
+//! part of them that only an advice request reveals. The cost of a request depends little on the
+//! number of runners that it names, so that the connections to the service bound how many runners a
+//! second can be asked about.
 //!
-//! Narrow steps name the runners whose room they fill up best: what is named is where tasks go, and
-//! naming the emptiest would break up the room that gangs need. Gangs name the emptiest, in as many
-//! questions side by side as are likely to find room for all members: a wide one that asks
-//! about a hundred runners at a time has waited out its objective before it knows enough of them.
+//! Steps of single tasks name the runners whose free capacity they fill up best. Tasks can only be
+//! placed on runners that were named, and naming the emptiest ones would fragment the capacity that
+//! gangs need. Gangs name the emptiest runners, in as many concurrent requests as are likely to
+//! find capacity for all members: a wide gang that names a hundred runners at a time misses its
+//! objective before enough of them are known.
 
 use super::advice::{Kind, MOST_NAMED};
 use super::plan::View;
@@ -19,20 +21,21 @@
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 
-/// Most runners named in a question about tasks that start one by one: a queue's objective allows for
-/// a question about 30.
+/// Maximum number of runners named in a request for single tasks: a queue's objective allows for a
+/// request that names 30.
 pub(super) const ASK_FIRST: usize = 30;
 
-/// Approved runners with room that are named when tickets have run out, for each waiting task.
+/// Number of approved runners with free capacity that are named for each waiting task when tickets
+/// have expired.
 const ASK_AGAIN: usize = 2;
 
-/// Room that a gang's questions should find, per cent of what it needs: others take part of it until
-/// the answers are there.
+/// Capacity that a gang's requests should find, per cent of its demand: other tasks take part of it
+/// before the answers arrive.
 const GANG_SPARE: u64 = 250;
 
 impl Engine {
-    /// Whether there are runners with room for a task of the step that its policy was not asked
-    /// about.
+    /// Whether there are runners with capacity for a task of the step that no advice request for
+    /// the step has named yet.
     pub(super) fn unasked(&mut self, v: &View<'_>, claims: &Claims, now: Now) -> bool {
         let need = v.step.demand();
         let roomy = self.roomy(&v.queue.service, need.cpu, now);
@@ -41,21 +44,22 @@
         v.queue.approval.is_some() && roomy.into_iter().any(|k| !self.asked_about(v, k) && fits(k))
     }
 
-    /// Whether the answer about a runner is known.
+    /// Whether a runner was approved or denied for the step.
     fn asked_about(&self, v: &View<'_>, k: RunnerKey) -> bool {
         let approvals = self.step(v.id).map(|s| &s.approvals);
         approvals.is_some_and(|a| a.tickets.contains_key(&k) || a.denied.contains(&k))
     }
 
-    /// Asks the policy about runners: those never asked about, or, where all are known, approved
-    /// ones with room whose tickets have run out.
+    /// Requests advice about runners: about those not named yet or, if there are none, about
+    /// approved ones with free capacity whose tickets have expired.
     pub(super) fn ask_for(&mut self, v: &View<'_>, claims: &Claims, missing: usize, now: Now) {
         let Some(a) = self.step(v.id).map(|s| &s.approvals) else { return };
         let held_back = self.lines_busy(v.kind());
         if v.queue.approval.is_none() || a.asking > 0 || a.retry_at > now.mono || held_back {
             return;
         }
-        // A gang with room on approved runners has booked it and does not come here.
+        // A gang for which the approved runners have capacity has reserved it and does not get
+        // here.
         let mut picked = match v.step.gang {
             true => Vec::new(),
             false => self.held_with_room(v, claims, now),
@@ -70,10 +74,11 @@
         self.ask_about(v, &picked, now);
     }
 
-    /// Notes the room that `missing` tasks will take of the runners named until the answer is there. In a
-    /// burst of lookups all questions would name the same runners otherwise, whose room is gone with the
-    /// first answers, and the others ask again, and again. Patient steps, whose questions take long,
-    /// would spread lookups over the cell instead.
+    /// Records the capacity that `missing` tasks will probably use on the named runners, until the
+    /// answer arrives. Without it, all requests of a burst of lookups would name the same runners,
+    /// whose capacity is gone with the first answers, and the other steps would repeat their
+    /// requests again and again. Non-urgent steps are left out: their requests take long, and would
+    /// spread lookups over the cell.
     fn want(&mut self, v: &View<'_>, named: &[RunnerKey], missing: usize) {
         let share = self.shares.get(&v.queue.name).copied().unwrap_or_default();
         let approved = share.of(named.len() as u64 * 100).max(100);
@@ -87,14 +92,14 @@
         self.questions.want(v.id, named.to_vec(), each);
     }
 
-    /// Approved runners with room, whether or not their tickets have run out.
+    /// Approved runners with free capacity, whether or not their tickets have expired.
     fn held_with_room(&mut self, v: &View<'_>, claims: &Claims, now: Now) -> Vec<RunnerKey> {
         let need = v.step.demand();
         let known = self.known(v, claims, now);
         known.into_iter().filter(|p| need.fits(&p.free)).map(|p| p.key).collect()
     }
 
-    /// Runners to name of those never asked about.
+    /// Runners to name that were not named yet.
     fn strangers(
         &mut self,
         v: &View<'_>,
@@ -109,7 +114,7 @@
             return Vec::new();
         }
         let need = v.step.demand();
-        // Roomiest first.
+        // Ordered by free capacity, largest first.
         let all = self.roomy(&v.queue.service, 0, now);
         let on = self.spread(v);
         let strange = |k: &RunnerKey| !self.asked_about(v, *k);
@@ -126,8 +131,8 @@
         }
     }
 
-    /// Brings runners that fit, roomiest first, into the order in which they are named: tasks can go only
-    /// where a question has led them, so that it is the order of placing.
+    /// Orders runners with enough capacity, given largest first, by the placement policy: tasks can
+    /// only be placed on runners that were named.
     fn order(&self, v: &View<'_>, fit: &mut [Place<RunnerKey>]) {
         match self.rules.placement {
             Placement::BestFit => fit.reverse(),
@@ -136,8 +141,8 @@
         }
     }
 
-    /// Runners to name so that in all likelihood enough are approved for `missing` tasks, each as
-    /// many as it has room for.
+    /// Runners to name so that enough are probably approved for `missing` tasks, each counted with
+    /// as many tasks as it has capacity for.
     fn names(
         &self,
         v: &View<'_>,
@@ -161,7 +166,8 @@
         out
     }
 
-    /// Runners to name for a gang of `count`: whole questions, since naming more costs little more.
+    /// Runners to name for a gang of `count` tasks: requests are filled up, since naming more
+    /// runners costs little more.
     fn names_of_gang(
         &self,
         v: &View<'_>,
@@ -184,7 +190,7 @@
         out
     }
 
-    /// Asks about runners, in as many questions as the service needs.
+    /// Requests advice about runners, in as many requests as the service's limit requires.
     pub(super) fn ask_about(&mut self, v: &View<'_>, runners: &[RunnerKey], now: Now) {
         let Some(approval) = v.queue.approval else { return };
         for named in runners.chunks(MOST_NAMED) {
--- a/src/control/engine/booking.rs
+++ b/src/control/engine/booking.rs
@@ -1,27 +1,30 @@
-//! Room kept for a gang while its tickets are asked for.
+//! Provisional reservations: capacity kept for a gang while its tickets are requested.
 //!
-//! Room that is free when a question about a gang's runners is sent is gone by the time of its answer.
-//! Without a booking the gang asks again and again, and keeps the service busy for everybody.
+//! Capacity that is free when an advice request for a gang is sent is usually gone when the answer
+//! arrives. Without a reservation the gang repeats its request again and again, and loads the
+//! service at the expense of all other steps. Reservations are bounded in time.
 
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::StepId;
 use crate::kernel::res::Resources;
 use std::collections::BTreeSet;
 
-/// A booking is given up after this long, ms, unless its question is under way.
+/// Time after which a provisional reservation is released, ms, unless an advice request for its
+/// step is pending.
 const BOOKING_MS: u64 = 2_500;
 
-/// ... and after this long in any case, ms, so that a gang whose questions get no answer does not
-/// keep room from others.
+/// Time after which a provisional reservation is released in any case, ms, so that a gang whose
+/// requests are not answered does not keep capacity from others.
 const LONGEST_MS: u64 = 5_000;
 
-/// What an answer leaves of its booking at least, ms: rounds to place the gang in.
+/// Minimum time that a provisional reservation is kept after an answer, ms: covers the rounds that
+/// place the gang.
 const ANSWERED_MS: u64 = 100;
 
-/// Runners for the members of a gang, one each, and the room of a member.
+/// The runners reserved for the members of a gang, one for each member, and the demand of a member.
 #[derive(Clone, Debug)]
 pub(super) struct Booking {
-    /// Where the members go.
+    /// Runner of each member.
     pub keys: Vec<RunnerKey>,
     need: Resources,
     until: u64,
@@ -29,14 +32,14 @@
 }
 
 impl Booking {
-    /// The runners booked, each once.
+    /// The reserved runners without duplicates.
     pub fn runners(&self) -> BTreeSet<RunnerKey> {
         self.keys.iter().copied().collect()
     }
 }
 
 impl Engine {
-    /// Books room for a gang.
+    /// Reserves capacity for a gang.
     pub(super) fn book(&mut self, id: StepId, keys: Vec<RunnerKey>, need: Resources, now: Now) {
         self.round.moves += 1;
         for k in &keys {
@@ -48,7 +51,7 @@
         self.bookings.insert(id, Booking { keys, need, until, last });
     }
 
-    /// Gives a booking back.
+    /// Removes a provisional reservation and frees its capacity.
     pub(super) fn unbook(&mut self, id: StepId) -> Option<Booking> {
         let b = self.bookings.remove(&id)?;
         self.round.moves += 1;
@@ -59,7 +62,7 @@
         Some(b)
     }
 
-    /// Keeps the bookings whose questions are under way.
+    /// Extends the reservations of steps with pending advice requests.
     fn hold_bookings(&mut self, now: Now) {
         let jobs = &self.jobs;
         let asking = |id: &StepId| {
@@ -71,8 +74,8 @@
         }
     }
 
-    /// Gives back bookings whose time is up, whose step no longer waits, or that name a runner
-    /// that takes no tasks any more.
+    /// Releases reservations that have expired, whose step no longer waits, or that include a
+    /// runner that takes no new tasks.
     pub(super) fn expire_bookings(&mut self, now: Now) {
         self.hold_bookings(now);
         let over = |id: &StepId, b: &Booking| {
--- a/src/control/engine/commit.rs
+++ b/src/control/engine/commit.rs
@@ -1,8 +1,8 @@
-//! Storing progress: what is written, and what the answers of the store mean.
+//! Storing of progress: which rows are written, and the handling of the store's answers.
 //!
-//! A write without an answer may be applied seconds later if its conditions still hold. Each row
-//! is therefore written under the condition that it is as this scheduler last knew it: a late
-//! write then finds a newer version and does nothing.
+//! A write without an answer may be applied seconds later if its conditions still hold. Each row is
+//! therefore written under the condition that it has the version last known to this scheduler: a
+//! late write finds a newer version and has no effect.
 
 use super::runs::Stage;
 use super::{Engine, Now};
@@ -11,23 +11,23 @@
 use crate::control::ports::Row;
 use crate::control::rows;
 
-/// A change of nothing but the state shown is stored after this long, ms, unless something else
-/// of the job is stored before. Most lookups end before, which saves them a write of three. Counts of
-/// waiting jobs may be 2 s old, poll and store included.
+/// Delay before a change of only the state shown to callers is stored, ms, unless another change of
+/// the job is stored earlier. Most lookups end within it, which saves them one write of three.
+/// Counts of waiting jobs may be 2 s old, including the poll and the write.
 const LAZY_MS: u64 = 1_000;
 
-/// Share of a batch that goes by rank; the rest goes to the changes that have waited longest, so
-/// that none is starved. One part in this many.
+/// One part in this many of a batch goes to the changes that have waited longest, so that none
+/// starves. The rest goes by rank.
 const OLDEST_PART: usize = 4;
 
-/// What an unstored change holds up; lower is stored first.
+/// What an unstored change delays; lower values are stored first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
-    /// A start or an end of an urgent job.
+    /// A start or a completion of an urgent job.
     Urgent,
     /// A start.
     Start,
-    /// An end, whose room is free already.
+    /// A completion, whose capacity is free already.
     Rest,
 }
 
@@ -38,9 +38,9 @@
     pub job: JobId,
     /// Revision of its progress.
     pub rev: u64,
-    /// Version that its row must have.
+    /// Version that the stored row must have.
     pub version: u64,
-    /// The row.
+    /// The encoded row.
     pub value: Vec<u8>,
     /// State shown to callers once it is stored.
     pub state: JobState,
@@ -55,14 +55,14 @@
     pub writes: Vec<Write>,
 }
 
-/// What became of a batch.
+/// Result of a batch.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// Stored with this version.
+    /// Stored; the rows have this version.
     Done(u64),
-    /// Nothing was stored; these rows stand there.
+    /// Nothing was stored; the store holds these rows.
     Conflict(Vec<Row>),
-    /// Nothing was stored, or it is not known.
+    /// Nothing was stored, or the outcome is unknown.
     Unknown,
 }
 
@@ -88,8 +88,9 @@
         Batch { at: now.mono, writes }
     }
 
-    /// Jobs to store next. On a store that takes few rows a second more wait than fit: in no
-    /// order a lookup's start waited seconds behind ends of batch tasks.
+    /// Jobs to store next. On a store that accepts few rows a second more are waiting than fit into
+    /// a batch: without an order, the start of a lookup waited seconds behind completions of batch
+    /// tasks.
     fn next_ids(&self, scope: Scope, max: usize) -> Vec<JobId> {
         let waiting = self.unstored(scope).map(|(id, at)| (at, id));
         let mut oldest: Vec<(u64, JobId)> = waiting.collect();
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Notes that the state shown of a job has changed, and nothing that a successor needs.
+    /// Counts a new revision of a job of which only the state shown to callers has changed, which
+    /// the next leader does not need.
     pub(super) fn touch_later(&mut self, id: JobId, now: Now) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.rev += 1;
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Has states stored whose time has come and that went with nothing else.
+    /// Queues the deferred states that are due and were not stored with another change.
     pub(super) fn store_due(&mut self, now: Now) {
         while let Some(&(due, id)) = self.lazy.first() {
             if due > now.mono {
@@ -138,19 +140,20 @@
         }
     }
 
-    /// Whether there is anything to store in a part that is not on its way.
+    /// Whether a partition has changes to store of which no write is pending.
     pub fn wants_commit(&self, part: Part) -> bool {
         self.unstored(Scope::One(part)).next().is_some()
     }
 
-    /// Jobs to be stored of which nothing is on its way, and since when.
+    /// Jobs with changes to store of which no write is pending, each with its position in the order
+    /// of changes.
     fn unstored(&self, scope: Scope) -> impl Iterator<Item = (JobId, u64)> + '_ {
         let free = |id: &JobId| self.jobs.get(id).is_some_and(|j| j.storing.is_none());
         let dirty = self.dirty.range(scope.jobs());
         dirty.filter(move |(id, _)| free(id)).map(|(id, at)| (*id, *at))
     }
 
-    /// The store answered, or did not.
+    /// Handles the store's answer to a batch, or its absence.
     pub fn committed(&mut self, batch: &Batch, out: &Outcome, now: Now) {
         match out {
             Outcome::Done(version) => self.stored(batch, *version, now),
@@ -188,8 +191,9 @@
         }
     }
 
-    /// Rows differ from what was expected: an earlier write without an answer was applied. Only
-    /// the office holder writes them, so its memory is the truth and only versions are learnt.
+    /// Rows differ from what was expected: an earlier write without an answer was applied. Only the
+    /// leader writes these rows, so that its own state is current and only the versions are taken
+    /// over.
     fn conflict(&mut self, batch: &Batch, found: &[Row]) {
         for w in &batch.writes {
             let key = rows::progress_key(w.job);
--- a/src/control/engine/forecast.rs
+++ b/src/control/engine/forecast.rs
@@ -1,12 +1,12 @@
-//! How much work is left of jobs: learned from steps that ended, forecast for those that wait.
+//! Remaining work of jobs: run-time models learn from completed steps and predict waiting ones.
 
 use super::{progress, Engine, Job, Now};
 use crate::control::model::{Attempt, JobId, Step, StepId, TaskId};
 use crate::control::pace::Pace;
 
 impl Job {
-    /// Works out the chains of work anew, of what steps took or are expected to take and the time
-    /// of a question about each, ms.
+    /// Computes the critical paths, ms, from the run times of completed steps, the predicted run
+    /// times of the others, and the time of an advice request for each.
     fn forecast(&mut self, pace: &Pace, asking: u64) {
         let known = |i: usize| self.steps.get(i).map_or(0, |s| s.took);
         let time = |(i, s): (usize, &Step)| match known(i) {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Longest chain of `times` from each step to the end.
+/// Longest sum of `times` along the dependencies from each step to the end of the job.
 fn tails(steps: &[Step], times: &[u64]) -> Vec<u64> {
     let mut out = times.to_vec();
     for i in (0..steps.len()).rev() {
@@ -32,7 +32,7 @@
 }
 
 impl Engine {
-    /// Works out anew what is left to do of a job.
+    /// Computes the remaining work of a job.
     pub(super) fn forecast(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let approval = self.cat.queues.get(&job.row.queue).and_then(|q| q.approval);
@@ -41,7 +41,7 @@
         job.forecast(&pace, asking);
     }
 
-    /// Notes how long a task took that has ended done, before its run is released.
+    /// Records the run time of a completed task. Called before its run is released.
     pub(super) fn note_time(&mut self, id: TaskId, gang: bool, now: Now) {
         let Some(step) = self.step_mut(id.step) else { return };
         let run = step.tasks.get(id.index as usize).and_then(|t| t.run.as_ref());
@@ -53,7 +53,8 @@
         step.took = step.took.max(now.mono - began);
     }
 
-    /// Learns from a step that has just become done, if it was not resumed on the way.
+    /// Updates the queue's run-time model with a step that has just completed, unless one of its
+    /// tasks was started more than once.
     pub(super) fn learn(&mut self, id: StepId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let Some(step) = job.step(id).filter(|s| s.took > 0) else { return };
--- a/src/control/engine/gangs.rs
+++ b/src/control/engine/gangs.rs
@@ -1,9 +1,10 @@
-//! Gangs that break: what the members that are left tell of one that is not heard of.
+//! Gangs that break: inferring the completion of a member whose runner does not answer.
 //!
-//! A gang starts again only once nothing of it can run. A member on a runner that has left or
-//! crashed gives no sign of its own: it would be waited for until its lease is over, and so would
-//! the gang, by then past its objective. But the others end as broken, which says that a member
-//! has ended; where every end that is seen says so, it is the one that is not seen.
+//! A gang starts again only once none of its members can run. A member on a runner that has left or
+//! crashed reports nothing: the gang would wait until that runner's lease expires, which is past
+//! the gang's objective. But the other members end as broken, which shows that some member has
+//! ended. If every completion received is of this kind, the member without a completion is the one
+//! that ended first.
 
 use super::losses::Loss;
 use super::runs::StopWhy;
@@ -18,8 +19,8 @@
 }
 
 impl Engine {
-    /// A member of a gang is gone without an end that the others would notice: they are
-    /// stopped, so that the gang starts again whole.
+    /// Handles the loss of a gang's member that the other members don't notice: they are stopped,
+    /// so that the gang starts again as a whole.
     pub(super) fn gang_broken(&mut self, id: TaskId, now: Now) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let broken = job.spec(id.step).gang && job.step(id.step).is_some_and(|s| !s.done());
@@ -28,7 +29,7 @@
         }
     }
 
-    /// A member of a gang ended because another had.
+    /// Records that a member of a gang ended because another had.
     pub(super) fn note_broken(&mut self, step: StepId, attempt: Attempt) {
         let Some(s) = self.step_mut(step) else { return };
         if s.broken.attempt != attempt {
@@ -38,7 +39,7 @@
         self.torn.insert(step);
     }
 
-    /// Releases members of broken gangs that must have ended where nobody answers.
+    /// Releases members of broken gangs that must have ended on a runner that does not answer.
     pub(super) fn mend_torn(&mut self, now: Now) {
         let torn: Vec<StepId> = self.torn.iter().copied().collect();
         for step in torn {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// The end of a run that was written off is seen after all: its loss is taken back. A gang's failure
-    /// counts, though another attempt has been made since.
+    /// Handles a completion of a run that was already marked as lost: the loss is withdrawn. A
+    /// gang's failure counts, although another attempt has been made since.
     pub(super) fn seen_late(&mut self, id: TaskId, attempt: Attempt, failed: bool, now: Now) {
         if let Some(task) = self.task_mut(id) {
             task.losses.withdraw(attempt);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Members of the gang's last attempt that run or may run, and where.
+    /// Members of the gang's last attempt that run or may run, and their runners.
     fn members_left(&self, step: StepId) -> Vec<(TaskId, RunnerKey)> {
         let Some(s) = self.step(step) else { return Vec::new() };
         let of = |(id, t): (TaskId, &super::Task)| {
@@ -88,9 +89,10 @@
         s.ids().zip(&s.tasks).filter_map(of).collect()
     }
 
-    /// The runner on which all that is left of a broken gang has ended unseen; none if that does
-    /// not follow. It follows where the others have all ended as broken, since the first to end was
-    /// not broken by another, and looks at the runner fail (one that answers will list the end).
+    /// The runner on which all remaining members of a broken gang must have ended; `None` if that
+    /// does not follow. It follows if all other members ended as broken, since the first one to end
+    /// was not broken by another, and polls of the runner fail (a runner that answers will report
+    /// the completion).
     fn ended_unseen(&self, step: StepId, left: &[(TaskId, RunnerKey)]) -> Option<RunnerKey> {
         let s = self.step(step)?;
         let &(_, k) = left.first()?;
@@ -99,9 +101,9 @@
         (one && others && self.runners.get(k).dark).then_some(k)
     }
 
-    /// Whether a gang may be started again. Each end that was not seen may have been a failure, which
-    /// counts if its runner comes back and lists it while the lease is not over: where that could
-    /// make as many failures as the queue allows, the gang waits.
+    /// Whether a gang may be started again. Each completion that was not received may be a failure,
+    /// which counts if its runner comes back and reports it before its lease expires. The gang
+    /// waits while these could add up to the failures that the queue allows.
     pub(super) fn may_retry(&self, step: StepId, now: Now) -> bool {
         let Some((s, job)) = self.step(step).zip(self.jobs.get(&step.job)) else { return false };
         let Some(queue) = self.cat.queues.get(&job.row.queue) else { return false };
--- a/src/control/engine/jobs.rs
+++ b/src/control/engine/jobs.rs
@@ -1,4 +1,4 @@
-//! What is known of a job: its steps, their tasks and where they run.
+//! State of a job: its steps, their tasks and where they run.
 
 use super::gangs::Broken;
 use super::runs::{Run, Stage};
@@ -15,19 +15,19 @@
 pub struct Task {
     /// Number of its last start.
     pub attempt: Attempt,
-    /// Runs that ended failed.
+    /// Number of runs that failed.
     pub fails: u32,
-    /// It has ended done, or its gang has.
+    /// Whether it, or its gang, has completed.
     pub done: bool,
-    /// Newest checkpoint; empty for none.
+    /// Newest checkpoint; empty if there is none.
     pub saved: String,
-    /// Where it runs, may run or is about to run.
+    /// The run that is placed, may run or runs; `None` if there is none.
     pub run: Option<Run>,
-    /// Runners on which it failed or stood still; it goes elsewhere if it can.
+    /// Runners on which it failed or made no progress; others are preferred.
     pub avoid: BTreeSet<RunnerKey>,
-    /// Runs in a row that were lost with their runners.
+    /// Consecutive runs that were lost with their runners.
     pub losses: Losses,
-    /// It has been stopped once to make room for others.
+    /// Whether it has been preempted. A task is preempted at most once.
     pub yielded: bool,
 }
 
@@ -38,18 +38,18 @@
     }
 }
 
-/// What is known of a queue's policy for a step.
+/// Results of advice requests for a step.
 #[derive(Clone, Debug, Default)]
 pub struct Approvals {
     /// Approved runners: their ticket and its end, local ms.
     pub tickets: BTreeMap<RunnerKey, (String, u64)>,
     /// Runners that may not run the step.
     pub denied: BTreeSet<RunnerKey>,
-    /// Questions on their way.
+    /// Number of pending advice requests.
     pub asking: u32,
-    /// Questions in a row that were refused because too many waited.
+    /// Consecutive advice requests that were refused because the service was busy.
     pub refusals: u32,
-    /// No question before this, local ms.
+    /// No advice request is sent before this time, local ms.
     pub retry_at: u64,
 }
 
@@ -60,22 +60,23 @@
     pub id: StepId,
     /// Its tasks.
     pub tasks: Vec<Task>,
-    /// Failures of the gang.
+    /// Number of failed attempts of the gang.
     pub gang_fails: u32,
     /// Attempt of the gang's last failure.
     pub failed_attempt: Attempt,
     /// Members of the gang that ended because another had.
     pub broken: Broken,
-    /// Attempts of the gang whose end was not seen, each of which may have been a failure, and
-    /// when the lease of the runner that did not show it is over, local ms.
+    /// Attempts of the gang with a member whose completion was not received, each of which may have
+    /// been a failure, and when the lease of that member's runner expires, local ms.
     pub unseen: BTreeMap<Attempt, u64>,
-    /// What the queue's policy allows.
+    /// Results of advice requests.
     pub approvals: Approvals,
     /// When it could first be placed, local ms.
     pub opened: u64,
-    /// When room was last tried to be made for it, local ms.
+    /// When preemption for it was last attempted, local ms.
     pub tried_at: u64,
-    /// Longest that one of its tasks took so far, ms; of a gang, from when it was whole.
+    /// Longest run time of its completed tasks so far, ms; for a gang, since all members were
+    /// running.
     pub took: u64,
 }
 
@@ -112,30 +113,30 @@
     }
 }
 
-/// A job and how far it has come.
+/// A job and its progress.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// As submitted.
+    /// The job as submitted.
     pub row: Arc<JobRow>,
-    /// State shown to callers once stored.
+    /// State shown to callers once it is stored.
     pub state: JobState,
-    /// When it ended, Unix ms.
+    /// When it ended, Unix ms; 0 before.
     pub ended: u64,
-    /// Steps, occurrence by occurrence; empty once an ended job has nothing left running.
+    /// Steps, ordered by occurrence; empty once a job has ended and none of its tasks runs.
     pub steps: Vec<StepRun>,
-    /// Rises with every change.
+    /// Revision of its progress; increases with every change.
     pub rev: u64,
     /// Newest revision known to be stored.
     pub stored: u64,
-    /// Revision being stored.
+    /// Revision that is being stored.
     pub storing: Option<u64>,
     /// Its placements that are not stored.
     pub unstored: Option<Unstored>,
-    /// Version of its row in the store.
+    /// Version of its progress row in the store.
     pub version: u64,
-    /// Longest chain of work expected from each step on, ms.
+    /// Length of the critical path from each step on, ms.
     pub tails: Vec<u64>,
-    /// Longest chain of all, ms.
+    /// Length of the critical path of the whole job, ms.
     pub longest: u64,
 }
 
@@ -180,18 +181,18 @@
         self.steps.get_mut(i).filter(|s| s.id == id)
     }
 
-    /// What a step asks for.
+    /// Specification of a step.
     pub fn spec(&self, id: StepId) -> &Step {
         &self.row.spec.steps[id.step as usize]
     }
 
-    /// Whether the steps that `id` waits for are done.
+    /// Whether the steps that `id` depends on are done.
     pub fn ready(&self, id: StepId) -> bool {
         let after = &self.spec(id).after;
         after.iter().all(|&step| self.step(StepId { step, ..id }).is_some_and(StepRun::done))
     }
 
-    /// Revision that stores the last of its placements that are not stored, if there are any.
+    /// Latest revision that stores one of its unstored placements; `None` if all are stored.
     pub fn newest_placement(&self) -> Option<u64> {
         let runs = self.steps.iter().flat_map(|s| &s.tasks).filter_map(|t| t.run.as_ref());
         let unstored = runs.filter_map(|r| match r.stage {
@@ -206,7 +207,7 @@
         self.steps.iter().any(|s| s.tasks.iter().any(|t| t.run.is_some()))
     }
 
-    /// Time in which it earns all it can, ms.
+    /// Time after its begin in which it meets its queue's objective, ms.
     pub fn objective(&self, queue: &Queue) -> u64 {
         (self.longest as f64 * queue.slack) as u64 + queue.latency_ms
     }
--- a/src/control/engine/lifecycle.rs
+++ b/src/control/engine/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Jobs come and go: taken in, opened step by step, cancelled, ended and forgotten.
+//! Life cycle of jobs: added, opened step by step, cancelled, ended and removed.
 
 use super::runs::StopWhy;
 use super::{Engine, Job, Now, StepRun};
@@ -8,7 +8,8 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Takes a job in, with what the store knows of its progress. A known job is left alone.
+    /// Adds a job, with the progress that is stored for it and the version of that row. A known job
+    /// is left unchanged.
     pub fn add_job(
         &mut self,
         id: JobId,
@@ -34,8 +35,8 @@
                 }
             }
         }
-        // A successor comes to know all jobs of the last minutes at once, of which most have ended: a
-        // line for each would take the place of those that tell of the takeover.
+        // A new leader adds all jobs of the last minutes at once, most of which have ended: a line
+        // for each would displace the lines about the takeover.
         if job.state.ended() {
             self.old.insert((job.ended, id));
         } else {
@@ -50,9 +51,9 @@
         }
     }
 
-    /// A task of a job is known to have started. Only now the job counts as running: while its
-    /// starts go unanswered, on a runner that has just been cut off, callers who ask how many jobs
-    /// wait must be told of it.
+    /// Marks a job as running once the start of one of its tasks is confirmed, and not before:
+    /// while its starts are unanswered, on a runner that has just become unreachable, the job must
+    /// be included in the count of waiting jobs that callers read.
     pub(super) fn begin(&mut self, id: JobId, occurrence: u32, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state != JobState::Queued {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Ends a job in `state`: what runs is stopped, nothing more is placed.
+    /// Ends a job in `state`: its runs are stopped and no more tasks are placed.
     pub(super) fn finish(&mut self, id: JobId, state: JobState, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = state;
@@ -131,7 +132,8 @@
         self.shed(id);
     }
 
-    /// Drops the steps of an ended job once nothing of it runs: its row shrinks to its state.
+    /// Drops the steps of an ended job once none of its tasks runs, so that its row contains only
+    /// its state.
     fn shed(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state.ended() && !job.runs() && !job.steps.is_empty() {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Brings a job's state and open steps in line with its tasks.
+    /// Updates a job's state and open steps from the state of its tasks.
     pub(super) fn settle(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.state.ended() {
@@ -173,7 +175,7 @@
         self.shed(id);
     }
 
-    /// Ended jobs whose time is up, at most `max`; they are forgotten here.
+    /// Removes ended jobs whose retention time is over, at most `max`, and returns them.
     pub fn expire(&mut self, now: Now, max: usize) -> Vec<JobId> {
         let keep = self.rules.keep_ms;
         let due = self.old.iter().take_while(|(at, _)| at + keep <= now.wall);
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -1,4 +1,5 @@
-//! Runs that are over though no end of them was listed, and which of them may have crashed their runner.
+//! Runs that are lost without a reported completion, and which of them may have crashed their
+//! runner.
 
 use super::runs::Stage;
 use super::{Engine, Now, RunnerKey, Task};
@@ -7,19 +8,19 @@
 use crate::control::place::Place;
 use std::collections::BTreeSet;
 
-/// Why runs are over of which no end was listed.
+/// Reason for which runs without a reported completion are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Loss {
-    /// Another life answers at their runner's address.
+    /// Another incarnation answers at their runner's address.
     OtherLife,
-    /// Their runner's lease is over.
+    /// Their runner's lease has expired.
     LeaseOver,
-    /// The rest of their gang ended because they had, and their runner does not answer.
+    /// The other members of their gang ended as broken, and their runner does not answer.
     GangBroken,
 }
 
 impl Loss {
-    /// Name in logs and metrics.
+    /// Name in log lines and metrics.
     fn name(self) -> &'static str {
         match self {
             Self::OtherLife => "another life",
@@ -29,14 +30,14 @@
     }
 }
 
-/// How long a run is known to have run until its runner fell silent, ms.
+/// How long a run is known to have run until its runner stopped answering, ms.
 fn known_time(task: &Task, silent: u64) -> Option<u64> {
     let began = task.run.as_ref().map(|r| r.progress.began).filter(|at| *at > 0)?;
     Some(silent.saturating_sub(began))
 }
 
 impl Engine {
-    /// Writes off what ran on a runner whose life or lease is over.
+    /// Marks all runs on a runner whose incarnation or lease is over as lost.
     pub(super) fn write_off(&mut self, k: RunnerKey, why: Loss, now: Now) {
         let tasks: Vec<(TaskId, Attempt)> = self.runners.get(k).tasks.keys().copied().collect();
         let lost: Vec<TaskId> = tasks
@@ -56,12 +57,13 @@
         }
     }
 
-    /// Counts the loss of runs against their tasks, unless their runner was meant to leave.
+    /// Counts the loss of runs against their tasks, unless their runner was draining.
     pub(super) fn note_lost(&mut self, k: RunnerKey, lost: &[TaskId], why: Loss, now: Now) {
         let runner = self.runners.get(k);
         let silent = runner.silent.unwrap_or(now.mono);
         let leaving = runner.entry.as_ref().is_some_and(|e| e.draining);
-        // One that stands in the registry when its lease is over is cut off.
+        // A runner that is still registered when its lease expires is unreachable and has not
+        // crashed.
         let crashed = why != Loss::LeaseOver || !runner.listed;
         lost.iter().for_each(|id| self.log_lost(k, *id, why, silent, now));
         if !leaving {
@@ -69,8 +71,8 @@
         }
     }
 
-    /// How unlikely a crash is counts only against the tasks that were lost most often before: the others
-    /// were beside them.
+    /// Counts the loss of runs. The probability of a crash by chance counts only against the tasks
+    /// with the most losses before: the others only ran beside them.
     fn count_lost(&mut self, k: RunnerKey, lost: &[TaskId], silent: u64, crashed: bool, now: Now) {
         let before = |id: &TaskId| self.task(*id).map_or(0, |t| t.losses.count);
         let most = lost.iter().map(before).max().unwrap_or(0);
@@ -97,7 +99,7 @@
             lost_before = task.losses.count; "run lost with its runner");
     }
 
-    /// A run ended in a way that its runner listed.
+    /// Records that a run ended with a completion that its runner reported.
     pub(super) fn note_ended(&mut self, id: TaskId, done: bool, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
         let ran = known_time(task, now.mono);
@@ -107,8 +109,8 @@
         self.loss_rate.ended(ran.unwrap_or(0), now.mono);
     }
 
-    /// Of these places the runners on which a task runs that was last lost together with this one: if
-    /// both were lost again, they could still not be told apart.
+    /// Of these places, the runners on which a task runs that was last lost together with this one:
+    /// if both were lost again, the cause could still not be attributed to one of them.
     pub(super) fn with_companions(
         &self,
         id: TaskId,
@@ -124,7 +126,7 @@
         places.iter().map(|p| p.key).filter(meets).collect()
     }
 
-    /// A run that has lasted for long did not crash its runner.
+    /// Clears the losses of a task whose run has lasted long enough: it does not crash its runner.
     pub(super) fn note_stable(&mut self, id: TaskId, now: Now) {
         let Some(task) = self.task_mut(id).filter(|t| t.losses.suspect()) else { return };
         if known_time(task, now.mono).is_none_or(|ran| ran < STABLE_MS) {
--- a/src/control/engine/mod.rs
+++ b/src/control/engine/mod.rs
@@ -1,10 +1,9 @@
-//! The scheduler's state and decisions, without I/O.
+//! State and decisions of the scheduler, without I/O.
 //!
-//! Whoever drives it ([`super::leader`]) hands in what happened (jobs, registry entries, answers
-//! of runners, of the store and of the advice service) and carries out the [`Action`]s that come
-//! of it. Everything a task's placement depends on is written to the store before the start is
-//! ordered, and every end before it is acknowledged, so that a successor knows of every task that
-//! may run anywhere.
+//! The driver ([`super::leader`]) passes in events (jobs, registry entries, answers of runners, of
+//! the store and of the advice service) and carries out the [`Action`]s that result. A task's
+//! placement is written to the store before its start is ordered, and every completion before it is
+//! acknowledged, so that the next leader finds every task that may run anywhere.
 
 mod advice;
 mod ask;
@@ -43,7 +42,7 @@
 use std::sync::Arc;
 
 arena_key!(
-    /// A life of a runner in the scheduler's arena.
+    /// An incarnation of a runner in the scheduler's arena.
     RunnerKey
 );
 
@@ -52,29 +51,29 @@
 pub struct Now {
     /// Local time that never jumps and counts suspended time, ms.
     pub mono: u64,
-    /// Time of day, Unix ms: due times and objectives of jobs.
+    /// Time of day, Unix ms: used for due times and objectives of jobs.
     pub wall: u64,
 }
 
-/// Limits that the platform's bounds set.
+/// Limits that follow from the platform's bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// Lease that every call to a runner extends, ms.
+    /// Length of the lease that every call to a runner extends, ms.
     pub hold_ms: u64,
-    /// A predecessor may have extended leases this long after its successor took office, ms.
+    /// For this long after a new leader was elected its predecessor may have extended leases, ms.
     pub yield_ms: u64,
-    /// Ended jobs are kept this long, ms.
+    /// Time that ended jobs are kept, ms.
     pub keep_ms: u64,
-    /// How runners are chosen.
+    /// How runners are selected for tasks.
     pub placement: Placement,
 }
 
-/// Something to do for the scheduler.
+/// A call for the driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Order a start; `after_ms` from now.
+    /// Order the start of a task, `after_ms` from now.
     Start {
-        /// Which runner.
+        /// The runner.
         runner: RunnerKey,
         /// Its address and id.
         to: RunnerCall,
@@ -83,53 +82,53 @@
         /// Delay, ms.
         after_ms: u64,
     },
-    /// Order a stop.
+    /// Order the stop of a run.
     Stop {
-        /// Which runner.
+        /// The runner.
         runner: RunnerKey,
         /// Its address and id.
         to: RunnerCall,
         /// The order.
         order: Order,
     },
-    /// Extend a runner's lease and look.
+    /// Poll a runner and extend its lease.
     Hold {
-        /// Which runner.
+        /// The runner.
         runner: RunnerKey,
         /// Its address and id.
         to: RunnerCall,
         /// The call.
         hold: Hold,
     },
-    /// Ask which runners may run a step.
+    /// Request advice on which runners may run a step.
     Ask {
         /// The step.
         step: StepId,
-        /// Runners to name.
+        /// Ids of the runners to name.
         ids: Vec<String>,
-        /// Time the service will take, ms.
+        /// Time that the advice service will take, ms.
         cost_ms: f64,
     },
 }
 
-/// Counts since the scheduler took office, for metrics and the state dump.
+/// Counts since this leader was elected, for metrics and the state dump.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Counts {
     /// Starts ordered.
     pub starts: u64,
-    /// Starts refused, by any reason.
+    /// Starts that were not carried out, for any reason.
     pub refused: u64,
-    /// Ends of any kind.
+    /// Completions of any kind.
     pub ends: u64,
-    /// Tasks written off because a lease lapsed or a runner was replaced.
+    /// Runs marked as lost: the lease expired, the runner was replaced, or the run was not listed.
     pub written_off: u64,
-    /// Tasks stopped to make room for gangs.
+    /// Tasks preempted by gangs.
     pub evicted: u64,
-    /// Questions to the advice service.
+    /// Advice requests.
     pub asks: u64,
     /// Planning rounds.
     pub rounds: u64,
-    /// Runners looked at and steps visited in planning rounds.
+    /// Runners and steps checked in planning rounds.
     pub looks: u64,
 }
 
@@ -137,15 +136,15 @@
 pub struct Engine {
     /// Limits.
     pub rules: Rules,
-    /// Fencing token of this term of office.
+    /// Fencing token of this term.
     pub fence: u64,
-    /// When office was taken, local ms.
+    /// When this leader was elected, local ms.
     pub since: u64,
-    /// Set once a runner has seen a higher token: this term is over.
+    /// Set once a runner has seen a higher fencing token: this term is over.
     pub deposed: bool,
-    /// Counts.
+    /// Counts of events in this term.
     pub counts: Counts,
-    /// Lines to the advice service; 0 if their number is not known.
+    /// Connections to the advice service; 0 if their number is not known.
     pub lines: usize,
     cat: Arc<Catalogue>,
     runners: Arena<RunnerKey, Runner>,
@@ -153,45 +152,46 @@
     jobs: BTreeMap<JobId, Job>,
     /// Steps with tasks to place.
     open: BTreeSet<StepId>,
-    /// The sweep of the open steps that is under way.
+    /// The current planning pass over the open steps.
     sweep: round::Sweep,
-    /// Open steps that opened or heard an answer since the last round.
+    /// Open steps that were opened or received advice since the last round.
     stirred: BTreeSet<StepId>,
-    /// What the round has worked out of the runners.
+    /// Sums over the runners that the current round has computed.
     round: round::Round,
-    /// Tasks that were ordered to stop, until the stop is answered.
+    /// Tasks that were ordered to stop, until the stop is acknowledged.
     stopping: BTreeSet<TaskId>,
-    /// Occurrences not yet due, by due time.
+    /// Occurrences that are not yet due, by due time.
     timed: BTreeSet<(u64, JobId, u32)>,
-    /// Jobs whose progress is to be stored, by when that was first so.
+    /// Jobs whose progress is to be stored, with the value of `touched` when they were added.
     dirty: BTreeMap<JobId, u64>,
-    /// Counts entries of `dirty`.
+    /// Counts additions to `dirty`.
     touched: u64,
-    /// Jobs of which only the state shown has changed, by when it is to be stored, local ms.
+    /// Jobs of which only the state shown to callers has changed, by the time when it is to be
+    /// stored, local ms.
     lazy: BTreeSet<(u64, JobId)>,
     /// Ended jobs by the time of their end, Unix ms.
     old: BTreeSet<(u64, JobId)>,
     acts: Vec<Action>,
-    /// Room kept for gangs whose tickets are being asked for.
+    /// Provisional reservations of gangs whose tickets are being requested.
     bookings: BTreeMap<StepId, booking::Booking>,
-    /// Steps of which a member ended because another had.
+    /// Gangs of which a member ended because another had.
     torn: BTreeSet<StepId>,
-    /// Questions about steps of patient queues that are on their way.
+    /// Pending advice requests.
     questions: advice::Questions,
-    /// Placements that wait for the store.
+    /// Placements that are not stored yet.
     storing: storing::Storing,
-    /// What queues' policies approve on average.
+    /// Share of the named runners that each queue's policy approves on average.
     shares: BTreeMap<String, advice::Share>,
-    /// What queues' estimates are worth.
+    /// Run-time model of each queue.
     paces: BTreeMap<String, Pace>,
-    /// How often runs are lost with their runners.
+    /// Rate at which runs are lost with their runners.
     loss_rate: LossRate,
-    /// Racks by name; runners and steps carry their number.
+    /// Racks by name; runners and steps use their numbers.
     racks: BTreeMap<String, u32>,
 }
 
 impl Engine {
-    /// A scheduler that has just taken office with `fence`.
+    /// The scheduler of a newly elected leader with the fencing token `fence`.
     pub fn new(rules: Rules, fence: u64, now: Now) -> Self {
         Self {
             rules,
@@ -226,19 +226,20 @@
         }
     }
 
-    /// Puts a catalogue in force; an older one is ignored.
+    /// Applies a catalogue; one that is not newer is ignored.
     pub fn set_catalogue(&mut self, cat: Arc<Catalogue>) {
         if cat.version > self.cat.version {
             self.cat = cat;
         }
     }
 
-    /// What to do now; each action is handed out once.
+    /// The actions to carry out; each is returned once.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.acts)
     }
 
-    /// Time passes: occurrences come due, leases lapse, looks and stops are repeated.
+    /// Handles the passing of time: opens occurrences that come due, marks runs as lost when leases
+    /// expire, repeats stops and polls runners.
     pub fn tick(&mut self, now: Now) {
         self.open_due(now);
         self.store_due(now);
@@ -263,7 +264,7 @@
         self.runners.iter()
     }
 
-    /// Steps with tasks to place.
+    /// Number of steps with tasks to place.
     pub fn open_steps(&self) -> usize {
         self.open.len()
     }
@@ -291,7 +292,7 @@
         task.run.as_mut().filter(|r| current && r.runner == k)
     }
 
-    /// Marks a job's progress as not yet stored.
+    /// Counts a new revision of a job's progress, to be stored with one of the next commits.
     fn touch(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.rev += 1;
@@ -299,7 +300,7 @@
         }
     }
 
-    /// Has a job's progress stored with one of the next commits.
+    /// Queues a job's progress to be stored with one of the next commits.
     fn mark(&mut self, id: JobId) {
         self.touched += 1;
         self.dirty.entry(id).or_insert(self.touched);
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -1,4 +1,4 @@
-//! A planning round: which waiting tasks go where.
+//! Planning rounds: the placement of waiting tasks on runners.
 
 use super::advice::Kind;
 use super::reserve::{Backlog, Claims};
@@ -12,22 +12,22 @@
 use crate::kernel::res::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Processor room of the whole cell kept free for urgent queues, in thousandths: two such
-/// bursts of the calm day's lookups, some 4 % of the room.
+/// Processor capacity of a service kept free for urgent queues, in thousandths: two bursts of
+/// lookups as they occur on a calm day, some 4 % of the capacity.
 const URGENT_SHARE: u64 = 40;
 
-/// What a round knows of a step.
+/// A waiting step with the data of it that a planning round needs.
 pub(super) struct View<'a> {
     pub id: StepId,
     pub step: &'a Step,
     pub queue: &'a Queue,
     waiting: usize,
-    /// It is not of an urgent queue.
+    /// Whether its queue is not an urgent one.
     patient: bool,
 }
 
 impl View<'_> {
-    /// What its questions are about.
+    /// Kind of the advice requests for this step.
     pub fn kind(&self) -> Kind {
         match (self.patient, self.step.gang) {
             (false, _) => Kind::Urgent,
@@ -38,8 +38,8 @@
 }
 
 impl Engine {
-    /// Places what can be placed, and asks about runners where a policy requires it: goes on with
-    /// the sweep of the waiting steps, or begins a new one.
+    /// Places the tasks that can be placed, and requests advice where a queue's policy requires it.
+    /// Continues the current planning pass over the waiting steps, or begins a new one.
     pub fn plan(&mut self, now: Now) {
         self.counts.rounds += 1;
         self.round = Round::default();
@@ -73,7 +73,7 @@
         Sweep::new(order, claims)
     }
 
-    /// Steps in the order in which they are served.
+    /// The given steps with their ranks, in the order in which they are planned.
     fn ranked(&self, ids: impl Iterator<Item = StepId>, now: Now) -> Vec<(Rank, StepId)> {
         let lead = self.lead();
         let of = |id: StepId| Some((self.rank(id, lead, now)?, id));
@@ -82,7 +82,7 @@
         order
     }
 
-    /// Of these steps the urgent ones that still earn something.
+    /// The urgent ones of the given steps whose objective can still be met, in order of rank.
     fn urgent(&self, ids: BTreeSet<StepId>, now: Now) -> Vec<(Rank, StepId)> {
         let mut order = self.ranked(ids.into_iter(), now);
         order.retain(|(rank, _)| !rank.patient && !rank.worthless);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether a step has no good ticket, though it needs one.
+    /// Whether a step needs a ticket and has no valid one.
     fn unticketed(&self, v: &View<'_>, now: Now) -> bool {
         let margin = self.ticket_margin(v.id);
         let tickets = self.step(v.id).into_iter().flat_map(|s| s.approvals.tickets.values());
@@ -117,17 +117,19 @@
         v.queue.approval.is_some() && !ends.any(|end| end > now.mono + margin)
     }
 
-    /// Whether a question about a step is on its way.
+    /// Whether an advice request for a step is pending.
     fn asking(&self, id: StepId) -> bool {
         self.step(id).is_some_and(|s| s.approvals.asking > 0)
     }
 
-    /// Whether no question about a step may be asked now.
+    /// Whether no advice request for a step may be sent now: one is pending, or its retry delay has
+    /// not passed.
     fn may_not_ask(&self, id: StepId, now: Now) -> bool {
         self.asking(id) || self.step(id).is_some_and(|s| s.approvals.retry_at > now.mono)
     }
 
-    /// Time in which room for a gang comes free, ms: what steps of patient queues usually take.
+    /// Time in which capacity for a gang is expected to become free, ms: the usual run time of
+    /// steps of non-urgent queues.
     fn lead(&self) -> u64 {
         let patient = |name: &String| self.cat.queues.get(name).is_some_and(|q| q.priority > 0);
         let paces = self.paces.iter().filter(|(name, _)| patient(name));
@@ -147,7 +149,7 @@
         Some(queue::rank(&claim, now.wall))
     }
 
-    /// What waits, against the whole cell.
+    /// Demand of the waiting steps, and the capacity of the cell.
     fn backlog(&self, order: &[(Rank, StepId)]) -> Backlog {
         let asked = |&(_, id): &(Rank, StepId)| {
             let demand = self.jobs.get(&id.job).map_or(Resources::ZERO, |j| j.spec(id).demand());
@@ -163,7 +165,7 @@
         self.step(id).map_or(0, |s| s.tasks.iter().filter(|t| t.waits()).count())
     }
 
-    /// Tasks of a step on each runner, where their number there is limited.
+    /// Number of tasks of a step on each runner; empty if the step does not limit it.
     pub(super) fn spread(&self, v: &View<'_>) -> BTreeMap<RunnerKey, u32> {
         let mut out = BTreeMap::new();
         if v.step.per_runner == 0 {
@@ -175,8 +177,9 @@
         out
     }
 
-    /// Runners known to be approved for the step, with the room that it may use there. Not all runners:
-    /// most of the waiting steps that a round visits wait for an answer about a few.
+    /// Candidate runners of a step, with the capacity that it may use on each. For a queue with a
+    /// policy these are the approved runners, not all: most of the waiting steps that a round plans
+    /// are waiting for advice about a few.
     pub(super) fn known(
         &mut self,
         v: &View<'_>,
@@ -191,7 +194,7 @@
         self.places(v, &keys, claims, now)
     }
 
-    /// Every runner that could take tasks of the step, approved or not.
+    /// Every runner that could run tasks of the step, approved or not.
     fn everywhere(&mut self, v: &View<'_>, claims: &Claims, now: Now) -> Vec<Place<RunnerKey>> {
         let keys: Vec<RunnerKey> = self.runners.iter().map(|(k, _)| k).collect();
         self.places(v, &keys, claims, now)
@@ -209,7 +212,8 @@
         keys.iter().filter_map(|&k| self.place_on(v, k, &on, claims, now)).collect()
     }
 
-    /// What a runner can take of a step of which `on` tasks run on each; none if it may not.
+    /// The capacity that a runner has for a step of which `on` tasks run on each runner; `None` if
+    /// the runner may not run the step.
     pub(super) fn place_on(
         &self,
         v: &View<'_>,
@@ -240,7 +244,8 @@
         })
     }
 
-    /// Keeps the runners for which a ticket is good.
+    /// The candidates for which the step has a valid ticket; all of them if the queue needs no
+    /// approval.
     fn ticketed(
         &self,
         v: &View<'_>,
@@ -257,7 +262,7 @@
         known.iter().filter(|p| all || good(p)).cloned().collect()
     }
 
-    /// Processor room of the service that patient work may take now.
+    /// Processor capacity of the service that non-urgent steps may use now.
     fn patient_room(&mut self, v: &View<'_>, now: Now) -> u64 {
         let (free, room) = self.service_room(&v.queue.service, now);
         free.saturating_sub(room * URGENT_SHARE / 1000)
@@ -276,7 +281,7 @@
     }
 
     fn place_tasks(&mut self, v: &View<'_>, claims: &Claims, now: Now) {
-        // Nothing to place or ask: with thousands of steps waiting that is what most of them are.
+        // Nothing can be placed or requested, as for most steps when thousands are waiting.
         if self.may_not_ask(v.id, now) && self.unticketed(v, now) {
             return;
         }
@@ -306,14 +311,14 @@
 
     fn place_gang(&mut self, v: &View<'_>, rank: Rank, claims: &mut Claims, now: Now) {
         let count = self.step(v.id).map_or(0, |s| s.tasks.len());
-        // It starts again whole, once nothing of the last attempt is left.
+        // A gang is restarted as a whole, once no run of its last attempt is left.
         if v.waiting < count || !self.may_retry(v.id, now) {
             return;
         }
         if self.bookings.contains_key(&v.id) {
             return self.place_booked(v, now);
         }
-        // Nothing to place, ask, book or reserve.
+        // Nothing can be placed, requested or reserved.
         if self.asking(v.id) && self.unticketed(v, now) && !claims.open(rank) {
             return;
         }
@@ -341,8 +346,8 @@
         self.ask_for(v, claims, count, now);
     }
 
-    /// Runners where tasks go only if no other has room: one of them failed or stood still there, or
-    /// would meet a task with which it was lost.
+    /// Runners that the given tasks use only if no other has capacity: those where one of the tasks
+    /// failed or made no progress, or would run beside a task with which it was lost.
     fn avoided(
         &self,
         ids: impl IntoIterator<Item = TaskId>,
@@ -356,7 +361,8 @@
         out
     }
 
-    /// Places a gang whose room is booked once it has good tickets for it, else asks for them.
+    /// Places a gang that has a provisional reservation once it has valid tickets for the reserved
+    /// runners, else requests them.
     fn place_booked(&mut self, v: &View<'_>, now: Now) {
         let Some(runners) = self.bookings.get(&v.id).map(super::booking::Booking::runners) else {
             return;
@@ -366,7 +372,7 @@
         let good =
             |k: &RunnerKey| a.tickets.get(k).is_some_and(|(_, end)| *end > now.mono + margin);
         if v.queue.approval.is_none() || runners.iter().all(good) {
-            // Tasks that make room may still be there.
+            // Preempted tasks may still run there.
             if !runners.iter().all(|k| self.runners.get(*k).clear()) {
                 return;
             }
@@ -386,7 +392,7 @@
         s.ids().zip(&s.tasks).filter(|(_, t)| t.waits()).map(|(id, _)| id).collect()
     }
 
-    /// Decides a placement; its start goes out once it is stored.
+    /// Decides the placement of a task. Its start is ordered once the placement is stored.
     fn commit_place(&mut self, v: &View<'_>, id: TaskId, k: RunnerKey, now: Now) {
         let need = v.step.demand();
         let name = self.runners.get(k).id.clone();
@@ -409,7 +415,8 @@
         self.note_unstored(id.step.job, rev, v.patient, now);
     }
 
-    /// Decides the placements of a gang: one attempt number, one checkpoint for all.
+    /// Decides the placements of a gang. All members get the same attempt number and the same
+    /// checkpoint.
     fn commit_gang(&mut self, v: &View<'_>, keys: &[RunnerKey], now: Now) {
         let Some(step) = self.step_mut(v.id) else { return };
         let last = step.tasks.iter().map(|t| t.attempt).max().unwrap_or_default();
--- a/src/control/engine/preempt.rs
+++ b/src/control/engine/preempt.rs
@@ -1,4 +1,4 @@
-//! Tasks that make room for gangs: who may be stopped, and when.
+//! Preemption: which tasks may be stopped for a gang, and when.
 
 use super::plan::View;
 use super::progress::Progress;
@@ -10,24 +10,25 @@
 use crate::control::place::Place;
 use crate::control::queue::Rank;
 
-/// Time between two tries to make room for a gang, ms: what is known of its runners changes with
-/// each look, some five a second.
+/// Interval between two preemption attempts for a gang, ms: the state of its runners changes with
+/// each poll, some five a second.
 const TRY_MS: u64 = 200;
 
-/// Nothing is stopped while what waits beside the gang asks for more than this share of the cell's
-/// processors, per cent: stopped tasks would only wait themselves, and lookups for the room.
+/// Nothing is preempted while the demand that waits beside the gang exceeds this share of the
+/// cell's processors, per cent: preempted tasks would only join the waiting ones, and lookups would
+/// wait for the capacity.
 const MOST_BACKLOG: u64 = 60;
 
-/// A task is not stopped beyond this percent of its work: it ends soon.
+/// A task that has done more than this percentage of its work is not preempted, since it ends soon.
 const NEARLY_DONE: f64 = 85.0;
 
-/// Time that the job of a stopped task must have to spare, ms: for the stop, a question for new tickets,
-/// the restore and the way of its rows, twice over.
+/// Slack that the job of a preempted task must have, ms: twice the time for the stop, an advice
+/// request for new tickets, the restore and the writes of its rows.
 const SPARE_MS: u64 = 4_000;
 
 impl Engine {
-    /// Stops tasks that can go on elsewhere for a gang that has no room, and books it. Returns
-    /// whether it did.
+    /// Preempts tasks that can continue elsewhere for a gang without capacity, and reserves their
+    /// capacity provisionally. Returns whether it did.
     pub(super) fn make_room(
         &mut self,
         v: &View<'_>,
@@ -74,8 +75,8 @@
         true
     }
 
-    /// Tasks on a runner that may be stopped: patient ones that write checkpoints, whose job has
-    /// time to spare, each once.
+    /// Tasks on a runner that may be preempted: tasks of non-urgent queues that write checkpoints,
+    /// whose job has enough slack and that were not preempted before.
     fn victims(&self, k: RunnerKey, now: Now) -> Vec<Victim<TaskId>> {
         let tasks = self.runners.get(k).tasks.iter();
         let yielding = tasks.filter(|((id, _), _)| self.may_yield(*id, now).unwrap_or(false));
--- a/src/control/engine/progress.rs
+++ b/src/control/engine/progress.rs
@@ -1,44 +1,47 @@
-//! When a run that makes no progress is taken for one that hangs, without I/O.
+//! Detection of runs that make no progress, without I/O.
 //!
-//! A runner whose tasks stand still answers its calls and reports them as running: only progress
-//! that does not come shows it. A run taken for hanging by mistake is stopped, which throws its work
-//! away, and that of its whole gang. So a run is judged by its own pace where it has one, a member
-//! of a gang only while the gang is whole, and one that is through with its work only when all are.
+//! A runner whose tasks are stalled answers its calls and reports them as running; only the missing
+//! progress shows it. A run that is stopped by mistake loses its work, and so does its whole gang.
+//! A run is therefore compared with its own rate of progress where it has one; a member of a gang
+//! is checked only while all members run; and a member that has done its work only once all have.
 
 use super::jobs::StepRun;
 use super::runs::Stage;
 
-/// A run without progress for this long hangs, ms: progress is reported in whole percent (350 ms of
-/// a 4 s task on a runner nine times too slow), and restoring a checkpoint takes 600 ms.
+/// Minimum time without progress after which a run is stalled, ms. Progress is reported in whole
+/// percent (350 ms each for a 4 s task on a runner nine times too slow), and restoring a checkpoint
+/// takes 600 ms.
 const STALL_MS: u64 = 1_200;
 
-/// ... or for this share of its estimate, until it has moved: 1 % of it many times over.
+/// A run that has made no progress yet is stalled only after this fraction of its estimated run
+/// time, one part in this many: many times the estimated time of 1 %.
 const STALL_SHARE: u64 = 8;
 
-/// ... or for this many times what each percent took so far: a runner may turn slow on the way.
+/// A run that has made progress is stalled only after this many times the average time of a percent
+/// so far: a runner may become slower during the run.
 const STALL_PACES: f64 = 12.0;
 
-/// Percent of a run that has done all its work.
+/// Progress of a run that has done all its work, per cent.
 const THROUGH: f64 = 100.0;
 
 /// Progress of a run as its runner reports it. Times are local, ms.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// Highest percent seen.
+    /// Highest percentage reported.
     pub percent: f64,
     /// When it was first known to run; 0 before.
     pub began: u64,
-    /// When it last moved.
+    /// When its progress last increased.
     pub moved: u64,
 }
 
 impl Progress {
-    /// The run is known to have started.
+    /// Records that the run has started.
     pub fn begin(&mut self, now: u64) {
         *self = Self { percent: 0.0, began: now, moved: now };
     }
 
-    /// A report shows the run at `percent`.
+    /// Records a report that shows the run at `percent`.
     pub fn note(&mut self, percent: f64, now: u64) {
         if self.began == 0 {
             self.begin(now);
@@ -49,12 +52,12 @@
         }
     }
 
-    /// Whether all its work is done.
+    /// Whether it has done all its work.
     pub fn through(&self) -> bool {
         self.percent >= THROUGH
     }
 
-    /// Longest time without progress that is still in order, ms.
+    /// Time without progress after which the run is stalled, ms.
     fn patience(&self, estimate: u64) -> u64 {
         let took = self.moved.saturating_sub(self.began) as f64;
         let usual = match self.percent > 0.0 {
@@ -64,13 +67,13 @@
         usual.max(STALL_MS)
     }
 
-    /// Whether the run hangs, if it could work since `free`.
+    /// Whether the run is stalled, given that it was able to work since `free`.
     pub fn hangs(&self, free: u64, estimate: u64, now: u64) -> bool {
         self.moved.max(free) + self.patience(estimate) <= now
     }
 }
 
-/// Since when the members of a gang can all work, local ms; none while one is missing.
+/// Since when all members of a gang are running, local ms; `None` while one is not.
 pub fn whole_since(step: &StepRun) -> Option<u64> {
     let began = |t: &super::Task| {
         let run = t.run.as_ref()?;
@@ -79,7 +82,8 @@
     step.tasks.iter().map(began).try_fold(0, |latest, at| Some(latest.max(at?)))
 }
 
-/// Whether a member of a gang is still at work, so that others who are through wait for it.
+/// Whether a member of a gang is still at work, so that members that have done their work wait for
+/// it.
 pub fn waited_for(step: &StepRun) -> bool {
     step.tasks.iter().filter_map(|t| t.run.as_ref()).any(|r| !r.progress.through())
 }
--- a/src/control/engine/reports.rs
+++ b/src/control/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What a look at a runner tells: what runs there, and what has ended.
+//! Handling of a runner's poll results: its active runs and its completions.
 
 use super::progress::{self, Progress};
 use super::runs::{Stage, StopWhy};
@@ -7,19 +7,19 @@
 use crate::control::ports::{Active, End, Order, Refusal, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Wait after a look that brought ends, ms: time to store them, so that the next look can
-/// acknowledge them.
+/// Delay after a poll that returned new completions, ms: time to store them, so that the next poll
+/// can acknowledge them.
 const STORE_ENDS_MS: u64 = 25;
 
-/// Wait after a look that brought only ends already taken in, ms: the store is slow or away,
-/// and the runner answers such looks at once.
+/// Delay after a poll that returned only completions already processed, ms. The store is slow or
+/// unavailable then, and the runner answers such polls at once.
 const STUCK_ENDS_MS: u64 = 200;
 
-/// Wait after a look that failed, ms.
+/// Delay after a failed poll, ms.
 const RETRY_LOOK_MS: u64 = 150;
 
 impl Engine {
-    /// The answer to a look.
+    /// Handles the result of a poll.
     pub fn looked(&mut self, k: RunnerKey, res: Result<Report, Refusal>, now: Now) {
         let runner = self.runners.get_mut(k);
         runner.holding = false;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Something runs that nobody counts on any more: a start carried out late.
+    /// Stops an orphaned run: a start that took effect late.
     fn stop_stray(&mut self, k: RunnerKey, task: TaskId, attempt: Attempt) {
         let Some(to) = self.runners.get(k).call() else { return };
         log::warn!(task:% = task, attempt = attempt.0, runner = to.id; "stray run stopped");
@@ -125,14 +125,14 @@
         }
     }
 
-    /// Since when a member of a gang could work, local ms; none if it waits for others.
+    /// Since when a member of a gang was able to work, local ms; `None` if it waits for others.
     fn member_free(&self, id: TaskId, of: &Progress) -> Option<u64> {
         let step = self.step(id.step)?;
         let waits = of.through() && progress::waited_for(step);
         progress::whole_since(step).filter(|_| !waits)
     }
 
-    /// Stops a run that hangs; its task goes elsewhere if it can.
+    /// Stops a run that makes no progress; its task prefers other runners from then on.
     fn move_away(&mut self, k: RunnerKey, id: TaskId, gang: bool, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
         task.avoid.insert(k);
@@ -146,14 +146,14 @@
         self.order_stop(id, StopWhy::Hangs, now);
     }
 
-    /// A run is not in the lists, though its room is still taken.
+    /// Handles a run that the runner does not list, while its capacity is still allocated.
     fn is_absent(&mut self, k: RunnerKey, id: TaskId, attempt: Attempt, clock: u64, now: Now) {
         let Some(run) = self.run_mut(k, id, attempt) else {
             self.runners.get_mut(k).vacate(id, attempt);
             return;
         };
-        // The look raised the fencing token, so a predecessor's start that is not here yet
-        // never comes into effect; a stopped attempt is refused when it arrives late.
+        // The poll raised the fencing token, so that a predecessor's start that has not arrived yet
+        // never takes effect. A start that arrives after the stop of its attempt is refused.
         let over = match run.stage {
             Stage::Inherited => true,
             Stage::Running { clock: ran } => clock > ran,
@@ -216,8 +216,9 @@
         self.settle(id.step.job, now);
     }
 
-    /// One end `done` of a gang's member stands for all of them. Returns whether the step became
-    /// done with it: once a step, however many members' ends follow.
+    /// Marks a task as done; for a gang, one member's completion completes all of them. Returns
+    /// whether the step became done with it, which is true once per step, however many members'
+    /// completions follow.
     fn mark_done(&mut self, id: TaskId, gang: bool) -> bool {
         let Some(step) = self.step_mut(id.step).filter(|s| !s.done()) else { return false };
         if gang {
--- a/src/control/engine/reserve.rs
+++ b/src/control/engine/reserve.rs
@@ -1,8 +1,9 @@
-//! Runners reserved for gangs that wait.
+//! Gang reservations: runners reserved for gangs that wait for capacity.
 //!
-//! The load this answers: wide gangs that few runners may run, on a cell where narrow tasks come
-//! all the time. Room for a gang comes free task by task, and narrow tasks would take each piece.
-//! So a gang that waits reserves runners: others place nothing more there (urgent queues do).
+//! Needed for wide gangs that few runners may run, on a cell where tasks of other steps arrive all
+//! the time. Capacity for a gang becomes free task by task, and other tasks would take each piece.
+//! A waiting gang therefore reserves runners, on which only urgent queues may place tasks. The
+//! number of gangs with reservations is bounded.
 
 use super::{Engine, RunnerKey};
 use crate::control::model::StepId;
@@ -11,37 +12,38 @@
 use crate::kernel::res::Resources;
 use std::collections::BTreeSet;
 
-/// Gangs in time for which room is kept back while they wait, as long as the cell keeps up.
+/// Maximum number of gangs with reservations, for gangs that are not late and while the cell keeps
+/// up.
 const GANGS_AHEAD: usize = 12;
 
-/// ... and in a cell that does not keep up, or for gangs that are late. Room kept back is room not used,
-/// which lookups lack then.
+/// Maximum number of gangs with reservations in a cell that does not keep up, or for gangs that are
+/// late. Reserved capacity is unused capacity, which lookups lack then.
 const GANGS_AHEAD_FULL: usize = 2;
 
-/// A cell does not keep up while what waits asks for more than this share of its processors, per cent.
+/// A cell does not keep up while the waiting demand exceeds this share of its processors, per cent.
 const FULL_BACKLOG: u64 = 40;
 
-/// Share of the room taken on a runner that a waiting gang counts on, per cent: its tasks end one
-/// by one, and a gang that counts on all of it waits for the last.
+/// Share of the allocated capacity of a runner that a waiting gang expects to become free, per
+/// cent: its tasks end one by one, and a gang that expected all of it would wait for the last.
 const ROOM_TO_COME: u64 = 25;
 
-/// Processors, in thousandths of a core, that what waits asks for, and that the cell has.
+/// Processor demand of the waiting steps and capacity of the cell, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backlog {
-    /// Asked for.
+    /// Demand of the waiting steps.
     pub asked: u64,
-    /// Of all runners.
+    /// Capacity of all runners.
     pub room: u64,
 }
 
 impl Backlog {
-    /// Whether it is over `share` per cent of the cell.
+    /// Whether the demand exceeds `share` per cent of the capacity.
     pub fn over(self, share: u64) -> bool {
         self.asked * 100 > self.room * share
     }
 }
 
-/// Runners reserved so far in a planning round, and for how many gangs.
+/// Runners reserved so far in a planning pass, and for how many gangs.
 #[derive(Default)]
 pub(super) struct Claims {
     taken: BTreeSet<RunnerKey>,
@@ -55,7 +57,7 @@
         Self { backlog, ..Self::default() }
     }
 
-    /// What patient work may use of a runner's free room.
+    /// The part of a runner's free capacity that non-urgent steps may use.
     pub fn left(&self, k: RunnerKey, free: Resources) -> Resources {
         match self.has(k) {
             true => Resources::ZERO,
@@ -68,7 +70,7 @@
         self.taken.contains(&k)
     }
 
-    /// What waits beside a gang that asks for `cpu` itself.
+    /// The backlog without a gang whose own demand is `cpu`.
     pub fn beside(&self, cpu: u64) -> Backlog {
         Backlog { asked: self.backlog.asked.saturating_sub(cpu), ..self.backlog }
     }
@@ -85,8 +87,8 @@
 }
 
 impl Engine {
-    /// Reserves runners for a gang that has to wait, of those `known` to be approved, largest free
-    /// room first, until what is free there and what may come free is enough.
+    /// Reserves runners for a waiting gang, of those `known` to be approved, largest free capacity
+    /// first, until the capacity that is free and that is expected to become free is enough.
     pub(super) fn reserve(
         &self,
         id: StepId,
--- a/src/control/engine/round.rs
+++ b/src/control/engine/round.rs
@@ -1,12 +1,12 @@
-//! What planning may cost, and what a round knows of the runners as a whole.
+//! Bounds of a planning round, and the sums over all runners that a round computes.
 //!
-//! The load this answers: thousands of waiting steps on hundreds of runners. If a round visits all of
-//! them it takes longer than the time between rounds, answers of runners and of the store wait
-//! behind it, and what is urgent starts late just when it matters; one notices by rounds that look at
-//! more than a hundred thousand runners (`looks` in the state dump). So steps are visited in sweeps: a
-//! sweep takes the waiting steps in order of rank, over as many rounds as its work needs, and urgent
-//! steps that have opened or heard an answer meanwhile go before the rest of it. No step is starved,
-//! since each sweep visits all.
+//! Needed for thousands of waiting steps on hundreds of runners. A round that planned all of them
+//! would take longer than the interval between rounds: answers of runners and of the store would be
+//! processed late, and urgent steps would start late when it matters most. Visible as rounds that
+//! check more than a hundred thousand runners (`looks` in the state dump). Steps are therefore
+//! planned in passes: a pass takes the waiting steps in order of rank, over as many rounds as
+//! needed, and urgent steps that were opened or received advice meanwhile are planned before the
+//! rest of it. No step starves, since each pass covers all.
 
 use super::reserve::Claims;
 use super::{Engine, Now, RunnerKey};
@@ -15,15 +15,15 @@
 use std::collections::BTreeMap;
 use std::vec;
 
-/// Runners looked at and steps visited in a round, after which the sweep goes on in the next one: a small
-/// part of the time between rounds.
+/// Maximum number of runners and steps checked in a round, after which the planning pass continues
+/// in the next one: takes a small part of the interval between rounds.
 pub const MOST_LOOKS: u64 = 16_000;
 
-/// ... of which urgent steps that are visited before the rest of a sweep may use this many, so that
-/// every sweep comes to its end.
+/// Part of [`MOST_LOOKS`] that urgent steps planned before the rest of a pass may use, so that
+/// every pass ends.
 pub(super) const MOST_AHEAD: u64 = MOST_LOOKS / 2;
 
-/// Waiting steps in order of rank, and the runners reserved by those visited so far.
+/// Waiting steps in order of rank, and the runners reserved by those planned so far.
 #[derive(Default)]
 pub(super) struct Sweep {
     left: vec::IntoIter<(Rank, StepId)>,
@@ -31,12 +31,12 @@
 }
 
 impl Sweep {
-    /// A sweep of steps in order.
+    /// A pass over steps in the given order.
     pub fn new(order: Vec<(Rank, StepId)>, claims: Claims) -> Self {
         Self { left: order.into_iter(), claims }
     }
 
-    /// Whether every step has been visited.
+    /// Whether every step has been planned.
     pub fn over(&self) -> bool {
         self.left.len() == 0
     }
@@ -50,30 +50,30 @@
     }
 }
 
-/// Room of a service's runners that take new tasks.
+/// Capacity of a service's runners that take new tasks.
 #[derive(Clone, Debug, Default)]
 struct Room {
-    /// Runners by free processor room when the round began, most first. Placements only take room, so
-    /// that none has more later in the round.
+    /// Runners by their free processor capacity when the round began, largest first. Placements
+    /// only reduce it during the round.
     by_cpu: Vec<(u64, RunnerKey)>,
-    /// Free processor room of all.
+    /// Free processor capacity of all runners.
     free: u64,
-    /// All their processor room.
+    /// Processor capacity of all runners.
     all: u64,
-    /// Value of `moves` when the sums were made.
+    /// Value of `Round::moves` when the sums were computed.
     moves: u64,
 }
 
-/// What a round has worked out of the runners, by service, once for all waiting steps.
+/// Sums over the runners of each service, computed once a round for all waiting steps.
 #[derive(Debug, Default)]
 pub(super) struct Round {
     rooms: BTreeMap<String, Room>,
-    /// Placements and bookings so far.
+    /// Number of placements and changes of provisional reservations in this round.
     pub moves: u64,
 }
 
 impl Engine {
-    /// Sums of a service's room; made anew after a placement.
+    /// Sums for a service; computed again after a placement.
     fn room_now(&mut self, service: &str, now: Now) -> &Room {
         let moves = self.round.moves;
         if self.round.rooms.get(service).is_none_or(|r| r.moves != moves) {
@@ -98,13 +98,13 @@
         room
     }
 
-    /// Free and whole processor room of a service's runners.
+    /// Free and total processor capacity of a service's runners.
     pub(super) fn service_room(&mut self, service: &str, now: Now) -> (u64, u64) {
         let room = self.room_now(service, now);
         (room.free, room.all)
     }
 
-    /// Runners of a service that may have `cpu` free, most first.
+    /// Runners of a service that may have `cpu` free, largest free capacity first.
     pub(super) fn roomy(&mut self, service: &str, cpu: u64, now: Now) -> Vec<RunnerKey> {
         if !self.round.rooms.contains_key(service) {
             self.room_now(service, now);
--- a/src/control/engine/runners.rs
+++ b/src/control/engine/runners.rs
@@ -1,4 +1,5 @@
-//! Lives of runners: where they are, what room is taken there, and when their lease is over.
+//! Incarnations of runners: their address, the capacity allocated on them, and when their lease
+//! expires.
 
 use super::losses::Loss;
 use super::{Action, Engine, Now, RunnerKey};
@@ -8,60 +9,60 @@
 use crate::kernel::res::Resources;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Time a look waits at the runner for an end, ms: bounds how long a cut link goes unnoticed
-/// while costing little more than one call a second where nothing happens.
+/// Time that a poll waits at the runner for a completion, ms. It bounds how long a broken
+/// connection goes undetected, and costs little more than one call a second where nothing happens.
 const LOOK_WAIT_MS: u64 = 800;
 
-/// ... where nothing runs, ms: the platform's longest. Looks at idle runners are most of a scheduler's
-/// work on a cell of thousands with little to do.
+/// Time that a poll waits at a runner where nothing runs, ms: the platform's maximum. Polls of idle
+/// runners are most of the scheduler's work on a cell of thousands of runners with little to do.
 const IDLE_WAIT_MS: u64 = 2_000;
 
-/// A runner not heard of for this long beyond its look's wait gets nothing new, ms.
+/// A runner without contact for this long beyond the wait of its poll gets no new tasks, ms.
 const REACH_MS: u64 = 900;
 
-/// A runner's clock may run this much slow, per mille (the platform's bound is 2 %).
+/// Slowest rate of a runner's clock, per mille of the local clock's: the platform's bound is 2 %.
 const SLOW_CLOCK: u64 = 980;
 
-/// Margin over a computed end of a lease, ms: the error of the estimated clock between two
-/// looks (2 % of about a second) and the time an answer travels, several times over.
+/// Margin added to the computed end of a lease, ms: several times the error of the estimated clock
+/// between two polls (2 % of about a second) and the time that an answer travels.
 const LAPSE_MARGIN_MS: u64 = 200;
 
-/// First time a runner is passed over after a strike, ms; doubles with each further one.
+/// Time that a runner is avoided after its first strike, ms; doubles with each further strike.
 const SHUN_MS: u64 = 500;
 
-/// Most doublings of [`SHUN_MS`].
+/// Maximum number of doublings of [`SHUN_MS`].
 const SHUN_DOUBLINGS: u32 = 4;
 
-/// Different jobs that must fail on a runner in a row before it is held to blame: one may have failed by its
-/// own fault.
+/// Number of different jobs that must fail on a runner before failures count as strikes: a single
+/// job may have failed by a fault of its own.
 const BLAME_JOBS: usize = 2;
 
-/// Whether a runner does what it is given.
+/// Strikes of a runner, and until when it is avoided.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    /// Strikes since the last task that ended done.
+    /// Refused starts, stalled tasks and failures since the last task that completed.
     pub strikes: u32,
-    /// Nothing new before this, local ms.
+    /// Gets no new tasks before this time, local ms.
     pub shunned: u64,
-    /// A task has ended done here since the last strike.
+    /// Whether a task has completed here since the last strike.
     pub proven: bool,
     failed: BTreeSet<JobId>,
 }
 
 impl Health {
-    /// Counts a strike.
+    /// Counts a strike at `now`, local ms.
     pub fn strike(&mut self, now: u64) {
         self.strikes += 1;
         self.proven = false;
         self.shunned = now + (SHUN_MS << self.strikes.min(SHUN_DOUBLINGS));
     }
 
-    /// A task ended done.
+    /// Records a completed task: resets the strikes.
     pub fn done(&mut self) {
         *self = Self { proven: true, ..Self::default() };
     }
 
-    /// A task of `job` failed, by its own fault or the runner's.
+    /// Records a failed task of `job`, for which the job or the runner may be the cause.
     pub fn failed(&mut self, job: JobId, now: u64) {
         self.failed.insert(job);
         if self.failed.len() >= BLAME_JOBS {
@@ -70,54 +71,55 @@
     }
 }
 
-/// One life of a runner.
+/// One incarnation of a runner.
 #[derive(Clone, Debug)]
 pub struct Runner {
     /// Its id.
     pub id: String,
-    /// Its newest registry entry; none if it was never seen there.
+    /// Its newest registry entry; `None` if the registry never listed it.
     pub entry: Option<RunnerEntry>,
-    /// It stands in the registry.
+    /// Whether the registry lists it.
     pub listed: bool,
-    /// This life is over: another one answers at its address.
+    /// Whether this incarnation is over: another one answers at its address.
     pub over: bool,
-    /// Whether it does what it is given.
+    /// Strikes, and until when it is avoided.
     pub health: Health,
     /// Number of its rack.
     pub rack: u32,
-    /// Room taken by what runs or may run there.
+    /// Capacity allocated to tasks that run or may run there.
     pub used: Resources,
-    /// Room booked for gangs whose tickets are being asked for.
+    /// Capacity provisionally reserved for gangs while their tickets are requested.
     pub booked: Resources,
-    /// Room that steps whose questions name it will take in all likelihood.
+    /// Capacity that steps whose pending advice requests name this runner will probably use.
     pub wanted: Resources,
-    /// What runs or may run there, and its room.
+    /// Tasks that run or may run there, and the capacity allocated to each.
     pub tasks: BTreeMap<(TaskId, Attempt), Resources>,
-    /// Tasks there of which runs were lost with their runners.
+    /// Those of its tasks that have lost runs with their runners.
     pub suspects: BTreeMap<TaskId, Losses>,
-    /// Its clock and the local time when that was read, ms.
+    /// Its clock and the local time when it was read, ms.
     pub clock: Option<(u64, u64)>,
-    /// When it was last heard of, local ms.
+    /// Time of the last contact, local ms.
     pub heard_at: u64,
-    /// How long the look on its way waits there, ms.
+    /// How long the pending poll waits at the runner, ms.
     wait_ms: u64,
-    /// Next look, local ms.
+    /// Time of the next poll, local ms.
     pub hold_at: u64,
-    /// A look is on its way.
+    /// Whether a poll is pending.
     pub holding: bool,
-    /// The last look, or a start since, had no answer.
+    /// Whether the last poll, or a start since, had no answer.
     pub missed: bool,
-    /// The last look had no answer.
+    /// Whether the last poll had no answer.
     pub dark: bool,
-    /// When calls began to go unanswered, local ms; none while they are answered.
+    /// When calls began to go unanswered, local ms; `None` while they are answered.
     pub silent: Option<u64>,
-    /// Highest end taken in.
+    /// Highest number of a processed completion.
     pub seen: u64,
-    /// Ends taken in and not acknowledged: number, job, revision that must be stored first.
+    /// Processed completions that are not acknowledged: number, job, and the job's revision that
+    /// must be stored before.
     pub unacked: VecDeque<(u64, JobId, u64)>,
-    /// Ends up to this number may be acknowledged.
+    /// Completions up to this number may be acknowledged.
     pub acked: u64,
-    /// Latest end of lease ever sent, ms on its clock.
+    /// Latest end of a lease that was sent, ms of its clock.
     until: u64,
 }
 
@@ -150,41 +152,41 @@
         }
     }
 
-    /// Whom to call, if its address is known.
+    /// Where calls to it are sent, if its address is known.
     pub fn call(&self) -> Option<RunnerCall> {
         Some(RunnerCall { addr: self.entry.as_ref()?.addr, id: self.id.clone() })
     }
 
-    /// Capacity.
+    /// Its capacity.
     pub fn room(&self) -> Resources {
         self.entry.as_ref().map_or(Resources::ZERO, |e| e.room)
     }
 
-    /// Room neither taken nor booked.
+    /// Capacity that is neither allocated nor provisionally reserved.
     pub fn free(&self) -> Resources {
         self.room().sub(&self.used).sub(&self.booked)
     }
 
-    /// Whether what runs there leaves the room that is booked.
+    /// Whether the allocated tasks leave the provisionally reserved capacity free.
     pub fn clear(&self) -> bool {
         self.used.add(&self.booked).fits(&self.room())
     }
 
-    /// Whether it was heard of lately.
+    /// Whether the last contact is recent.
     pub fn reached(&self, now: Now) -> bool {
         self.clock.is_some() && self.heard_at + self.wait_ms + REACH_MS > now.mono
     }
 
-    /// Whether new tasks may be placed there. A start without an answer counts against it until
-    /// the next look succeeds: the first sign of a cut, a second before looks show it, and what
-    /// is placed meanwhile is tied up until the lease is over.
+    /// Whether new tasks may be placed there. An unanswered start excludes the runner until the
+    /// next poll succeeds: it is the first sign of a broken connection, a second before polls show
+    /// it, and tasks placed meanwhile would be blocked until the lease expires.
     pub fn usable(&self, now: Now) -> bool {
         let ready = self.entry.as_ref().is_some_and(|e| !e.draining);
         let answers = !self.missed && self.reached(now);
         ready && self.listed && !self.over && answers && self.health.shunned <= now.mono
     }
 
-    /// Takes room for a task that has lost runners as told by `losses`.
+    /// Allocates capacity for a task whose history of lost runs is `losses`.
     pub fn occupy(&mut self, id: TaskId, attempt: Attempt, need: Resources, losses: Losses) {
         if losses.suspect() {
             self.suspects.insert(id, losses);
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Gives a task's room back.
+    /// Frees the capacity of a task.
     pub fn vacate(&mut self, id: TaskId, attempt: Attempt) {
         if let Some(need) = self.tasks.remove(&(id, attempt)) {
             self.used = self.used.sub(&need);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Notes an answer with the runner's clock.
+    /// Records an answer that carries the runner's clock.
     pub fn heard(&mut self, clock: u64, now: Now) {
         self.heard_at = now.mono;
         self.silent = None;
@@ -211,14 +213,14 @@
         }
     }
 
-    /// Notes a call without an answer.
+    /// Records a call without an answer.
     pub fn unheard(&mut self, now: Now) {
         self.missed = true;
         self.silent.get_or_insert(now.mono);
     }
 
-    /// The end of a lease of `hold` ms from now on the runner's clock; remembered, since the
-    /// order that carries it may come into effect even if it is never answered.
+    /// The end of a lease of `hold` ms from now, on the runner's clock. It is recorded, since the
+    /// order that carries it may take effect even if it is never answered.
     pub fn extend(&mut self, hold: u64, now: Now) -> Option<u64> {
         let (clock, at) = self.clock?;
         let until = clock + now.mono.saturating_sub(at) + hold;
@@ -226,8 +228,9 @@
         Some(until)
     }
 
-    /// When every lease given there is over by the slowest clock, local ms. Before this term has
-    /// given one only its predecessors' count, which are over at `foreign`.
+    /// When every lease that was sent there has expired by the slowest clock, local ms. Before this
+    /// term has sent one, only the leases of its predecessors count, which have expired at
+    /// `foreign`.
     pub(super) fn lease_over(&self, foreign: u64) -> u64 {
         match self.clock {
             Some((clock, at)) if self.until > 0 => {
@@ -244,7 +247,7 @@
 }
 
 impl Engine {
-    /// The runner called `id`, made known if it is not.
+    /// The runner with this id, created if it does not exist.
     pub(super) fn runner_named(&mut self, id: &str) -> RunnerKey {
         if let Some(&k) = self.by_id.get(id) {
             return k;
@@ -254,7 +257,7 @@
         k
     }
 
-    /// The registry's entry of a runner changed; none if it was removed.
+    /// Applies a change of a runner's registry entry; `None` if the entry was removed.
     pub fn register(&mut self, id: &str, entry: Option<RunnerEntry>) {
         let k = self.runner_named(id);
         let runner = self.runners.get_mut(k);
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Forgets entries that a full read of the registry did not show.
+    /// Unlists the runners that a full read of the registry did not return.
     pub fn keep_registered(&mut self, ids: &BTreeSet<String>) {
         let gone: Vec<String> = self
             .runners
@@ -291,7 +294,7 @@
         }
     }
 
-    /// Looks at every runner whose turn it is.
+    /// Polls every runner whose next poll is due.
     pub(super) fn look(&mut self, now: Now) {
         let (fence, hold) = (self.fence, self.rules.hold_ms);
         let jobs = &self.jobs;
@@ -306,9 +309,10 @@
             while r.unacked.front().is_some_and(|(_, id, rev)| stored(id, *rev)) {
                 r.acked = r.unacked.pop_front().map_or(r.acked, |(n, _, _)| n);
             }
-            // The first look only learns the runner's clock. One after a failed look extends
-            // nothing either: it may come into effect at a runner that can hear and not answer,
-            // and leases offered again and again to a runner out of reach would never be over.
+            // The first poll only reads the runner's clock. A poll after a failed one does not
+            // extend the lease either: it may take effect at a runner that receives calls and whose
+            // answers are lost, and leases that are sent repeatedly to an unreachable runner would
+            // never expire.
             let until = if r.missed { None } else { r.extend(hold, now) };
             let idle = r.tasks.is_empty() && r.unacked.is_empty();
             let wait_ms = match until {
@@ -324,7 +328,7 @@
         self.acts.append(&mut acts);
     }
 
-    /// Another life answers at the runner's address: all that ran in this one is over.
+    /// Another incarnation answers at the runner's address: all runs of this one are lost.
     pub(super) fn runner_over(&mut self, k: RunnerKey, now: Now) {
         if !self.runners.get(k).over {
             log::info!(runner = self.runners.get(k).id, tasks = self.runners.get(k).tasks.len();
@@ -334,14 +338,15 @@
         self.write_off(k, Loss::OtherLife, now);
     }
 
-    /// When leases that predecessors gave are over, local ms. One that is cut off from the store,
-    /// and not from a runner, may extend its lease until it has to stop; then the lease runs out.
+    /// When the leases that predecessors sent have expired, local ms. A predecessor that cannot
+    /// reach the store but can reach a runner may extend that runner's lease until it must step
+    /// down; from then on the lease runs out.
     pub(super) fn foreign_over(&self) -> u64 {
         let lease = self.rules.hold_ms * 1000 / SLOW_CLOCK + LAPSE_MARGIN_MS;
         self.since + self.rules.yield_ms + lease
     }
 
-    /// Writes off what ran on runners whose leases are over.
+    /// Marks the runs on runners whose leases have expired as lost.
     pub(super) fn lapse(&mut self, now: Now) {
         let foreign = self.foreign_over();
         let due: Vec<RunnerKey> = self
--- a/src/control/engine/runs.rs
+++ b/src/control/engine/runs.rs
@@ -1,55 +1,56 @@
-//! Runs of tasks: ordering starts and stops, and what their answers mean.
+//! Runs of tasks: start and stop orders, and the handling of their results.
 //!
-//! An order without an answer may be carried out seconds later. What goes wrong otherwise: its
-//! room is given away and the runner is oversold, or the task starts elsewhere and runs twice.
-//! So a run holds its room until its end is listed, or a stop for its attempt was answered and a
-//! later look does not show it, or the runner's lease or life is over.
+//! An order without an answer may still be carried out seconds later. If the capacity of its run
+//! were released before, the runner could be overcommitted, or the task could start elsewhere and
+//! run twice. A run therefore keeps its capacity until its completion is reported; or a stop of its
+//! attempt was acknowledged and a later poll does not list it; or the lease or the incarnation of
+//! its runner is over.
 
 use super::progress::Progress;
 use super::{Action, Engine, Now, RunnerKey};
 use crate::control::model::{Attempt, StepId, TaskId};
 use crate::control::ports::{Order, Refusal, Start};
 
-/// Wait before an unanswered start is repeated, ms: a runner answers in a few ms, and the
-/// repetition meets a run already there without harm.
+/// Delay before an unanswered start is repeated, ms. A runner answers within a few ms, and a
+/// repeated start of a run that already exists has no effect.
 const RETRY_START_MS: u64 = 60;
 
-/// Tries of a start before its attempt is stopped and the task goes elsewhere.
+/// Starts sent for an attempt before the attempt is stopped and the task goes elsewhere.
 const START_TRIES: u32 = 3;
 
-/// A ticket must be good for this much longer when a start goes out, ms: the way of its answer and of
-/// the start, several times over.
+/// A ticket must be valid for this much longer when a start is sent, ms: several times the delay of
+/// the advice service's answer and of the start.
 const TICKET_WAY_MS: u64 = 20;
 
-/// Time between repetitions of a stop that had no answer, ms.
+/// Interval between repetitions of an unanswered stop, ms.
 const RETRY_STOP_MS: u64 = 300;
 
-/// How far a run has come.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its placement is being stored; nothing has been sent.
+    /// Its placement is being stored; no start has been sent.
     Storing {
-        /// Revision of the job that holds it.
+        /// Revision of the job that contains the placement.
         rev: u64,
     },
     /// The start was sent.
     Sent,
-    /// Found in the store at a takeover; the runner has not been asked yet.
+    /// Read from the store by a new leader; the runner has not been polled yet.
     Inherited,
-    /// It ran at this time of the runner's clock, ms.
+    /// The runner confirmed that it runs.
     Running {
-        /// Runner's clock, ms.
+        /// Time of the runner's clock when it confirmed the start, ms.
         clock: u64,
     },
     /// A stop was sent.
     Stopping {
-        /// Runner's clock when it answered, ms.
+        /// Time of the runner's clock when it acknowledged the stop, ms.
         answered: Option<u64>,
     },
 }
 
 impl Stage {
-    /// Name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Storing { .. } => "storing",
@@ -61,25 +62,25 @@
     }
 }
 
-/// Why a run is stopped.
+/// Reason for which a run is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopWhy {
     /// Its job has ended or was cancelled.
     JobEnded,
-    /// Its gang cannot go on.
+    /// A member of its gang is lost.
     GangBroken,
     /// It makes no progress.
     Hangs,
-    /// Its start was not answered: it must not happen any more.
+    /// Its start was not answered, and must have no effect any more.
     NoAnswer,
-    /// It makes room for a gang.
+    /// It is preempted by a gang.
     MakesRoom,
     /// An earlier stop was not answered.
     Again,
 }
 
 impl StopWhy {
-    /// Name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::JobEnded => "job ended",
@@ -95,24 +96,24 @@
 /// A run of a task on a runner.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Where.
+    /// The runner.
     pub runner: RunnerKey,
-    /// How far.
+    /// Its state.
     pub stage: Stage,
-    /// Starts sent.
+    /// Number of starts sent.
     pub tries: u32,
-    /// A start had no answer: it may come into effect later.
+    /// A start was not answered: its outcome is unknown, and it may take effect later.
     pub unsure: bool,
-    /// How far it is known to have come.
+    /// Progress as reported by the runner.
     pub progress: Progress,
     /// When a stop was last sent, local ms.
     pub stop_at: u64,
-    /// Ticket for the start.
+    /// Ticket that the start carries.
     pub ticket: Option<String>,
 }
 
 impl Run {
-    /// A run on `runner`.
+    /// A run on `runner` of which no start has been sent by this leader.
     pub fn new(runner: RunnerKey, stage: Stage) -> Self {
         let progress = Progress::default();
         Self { runner, stage, tries: 0, unsure: false, progress, stop_at: 0, ticket: None }
@@ -129,7 +130,7 @@
         let tickets = &step.approvals.tickets;
         let Some(task) = step.tasks.get_mut(id.index as usize) else { return };
         let Some(run) = task.run.as_mut() else { return };
-        // One given since the placement was decided is good for longer.
+        // A ticket that was issued after the placement was decided is valid for longer.
         run.ticket = tickets.get(&run.runner).map(|(t, _)| t.clone()).or(run.ticket.take());
         let runner = self.runners.get_mut(run.runner);
         let (Some(to), Some(until)) = (runner.call(), runner.extend(hold, now)) else { return };
@@ -150,7 +151,7 @@
         self.acts.push(Action::Start { runner: run.runner, to, start, after_ms });
     }
 
-    /// Orders a stop of a task's run.
+    /// Orders the stop of a task's run, unless a stop was already acknowledged.
     pub(super) fn order_stop(&mut self, id: TaskId, why: StopWhy, now: Now) {
         let fence = self.fence;
         let Some(task) = self.task_mut(id) else { return };
@@ -169,7 +170,7 @@
         self.acts.push(Action::Stop { runner: k, to, order });
     }
 
-    /// Stops whatever runs of a step. What was not sent yet is taken back at once.
+    /// Stops all runs of a step. Runs whose start was not sent yet are released at once.
     pub(super) fn stop_step(&mut self, step: StepId, why: StopWhy, now: Now) {
         let Some(s) = self.step(step) else { return };
         let ids: Vec<TaskId> = s.ids().collect();
@@ -183,7 +184,8 @@
         }
     }
 
-    /// A run is over or never was: its room is free and the task waits, unless it is done.
+    /// Removes a run that is over or never started. Its capacity becomes free and its task waits
+    /// again, unless it is done.
     pub(super) fn release(&mut self, id: TaskId, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
         let attempt = task.attempt;
@@ -193,8 +195,8 @@
         self.open_steps_of(id.step.job, now);
     }
 
-    /// A run never took place although its start was ordered. Members of a gang that did start
-    /// are stopped at once: they would wait in vain for this one.
+    /// Handles a run whose ordered start had no effect. Members of a gang that did start are
+    /// stopped at once, since they would wait for this one forever.
     fn never_ran(&mut self, id: TaskId, now: Now) {
         self.release(id, now);
         let gang = self.jobs.get(&id.step.job).is_some_and(|j| j.spec(id.step).gang);
@@ -204,7 +206,8 @@
         self.settle(id.step.job, now);
     }
 
-    /// The answer to a start.
+    /// Handles the result of a start: the time of the runner's clock, ms, or the reason why it was
+    /// not carried out.
     pub fn started(
         &mut self,
         k: RunnerKey,
@@ -267,7 +270,7 @@
         }
     }
 
-    /// Takes a refusal into account in where tasks go next.
+    /// Records a refusal that affects further placements.
     fn blame(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
         let runner = self.runners.get_mut(k);
         match why {
@@ -283,7 +286,8 @@
         }
     }
 
-    /// The answer to a stop.
+    /// Handles the result of a stop: the time of the runner's clock, ms, or the reason why it was
+    /// not carried out.
     pub fn stopped(
         &mut self,
         k: RunnerKey,
@@ -299,14 +303,15 @@
                 if let Some(run) = self.run_mut(k, id, attempt) {
                     run.stage = Stage::Stopping { answered: Some(clock) };
                 }
-                // The end shows in the lists within the runner's time to stop: look soon.
+                // The completion is reported within the time that the runner takes to stop: poll at
+                // once.
                 self.runners.get_mut(k).hold_at = now.mono;
             }
             Err(_) => {}
         }
     }
 
-    /// A runner has seen a higher fencing token than this term's.
+    /// Records that a runner has seen a higher fencing token than this term's: the term is over.
     pub(super) fn fenced_off(&mut self, k: RunnerKey) {
         if !self.deposed {
             log::warn!(runner = self.runners.get(k).id, fence = self.fence;
@@ -315,7 +320,7 @@
         self.deposed = true;
     }
 
-    /// Repeats stops that had no answer, in the order of runners.
+    /// Repeats unanswered stops that are due, ordered by runner.
     pub(super) fn repeat_stops(&mut self, now: Now) {
         let mut due = Vec::new();
         for id in std::mem::take(&mut self.stopping) {
@@ -339,22 +344,24 @@
         self.task(id)?.run.as_ref()
     }
 
-    /// Whether the ticket with which a task would start has run out. What approves no runners has none.
+    /// Whether the ticket for a task's start has expired. A queue without approval has no tickets.
     fn ticket_over(&self, id: TaskId, now: Now) -> bool {
         let Some(run) = self.run_of(id) else { return false };
         let ticket = self.step(id.step).and_then(|s| s.approvals.tickets.get(&run.runner));
         ticket.is_some_and(|(_, end)| *end <= now.mono + TICKET_WAY_MS)
     }
 
-    /// Whether a task's runner has shrunk below what is taken there since the task was placed.
+    /// Whether the capacity of a task's runner has fallen below what is allocated there since the
+    /// task was placed.
     fn room_gone(&self, id: TaskId) -> bool {
         let Some(run) = self.run_of(id) else { return false };
         let runner = self.runners.get(run.runner);
         !runner.used.fits(&runner.room())
     }
 
-    /// A placement has been stored: its start may go out. While the store was slow or away its ticket may
-    /// have run out, or its runner shrunk: it is given up then, a gang's for all members.
+    /// Orders the starts of a step whose placements are stored up to revision `stored`. While the
+    /// store was slow or unavailable, a ticket may have expired or a runner's capacity may have
+    /// shrunk. Such a placement is released, and for a gang the placements of all its members.
     pub(super) fn start_stored(&mut self, step: StepId, stored: u64, now: Now) {
         let Some(s) = self.step(step) else { return };
         let due: Vec<TaskId> = s
--- a/src/control/engine/stored.rs
+++ b/src/control/engine/stored.rs
@@ -1,4 +1,5 @@
-//! Progress of a job as it stands in the store: read by a successor, written with each commit.
+//! Conversion between a job's progress and its row in the store, which each commit writes and a new
+//! leader reads.
 
 use super::runs::{Run, Stage};
 use super::{Job, RunnerKey, StepRun, Task};
@@ -6,7 +7,7 @@
 use crate::control::rows::{ProgressRow, StepRow, TaskRow};
 
 impl Job {
-    /// Takes over what the store knows; leases that a predecessor gave are over at `over`.
+    /// Applies a stored row. The leases that predecessors sent have expired at `over`, local ms.
     pub(super) fn load(
         &mut self,
         p: &ProgressRow,
