--- a/src/control/engine/advice.rs
+++ b/src/control/engine/advice.rs
@@ -17,38 +17,38 @@
 const TICKET_MARGIN_MS: u64 = 250;
 
 /// Upper bound of the storing time in the margin of a ticket, ms: half of a ticket's validity.
-const STORING_MS: u64 = 1_000;
+const MAX_STORING_MARGIN_MS: u64 = 1_000;
 
 /// Delay before a request is repeated after a failure, ms; doubles with each further refusal.
 /// Requests that are refused because the service is busy would add to its load if all were repeated
 /// together.
-const RETRY_ASK_MS: u64 = 200;
+const ADVICE_RETRY_MS: u64 = 200;
 
-/// Maximum number of doublings of [`RETRY_ASK_MS`]: 3.2 s, several times the longest request.
-const RETRY_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of [`ADVICE_RETRY_MS`]: 3.2 s, several times the longest request.
+const ADVICE_RETRY_DOUBLINGS: u32 = 4;
 
 /// Delay of the next request for a step after `refusals` consecutive refusals, ms: between half of
 /// the wait and all of it, derived from a hash of the step, so that steps refused together are not
 /// repeated together.
 fn backoff(step: StepId, refusals: u32) -> u64 {
-    let wait = RETRY_ASK_MS << refusals.saturating_sub(1).min(RETRY_DOUBLINGS);
-    let drawn = xxh3::xxh3_64(&(step.job.0 ^ u64::from(refusals)).to_le_bytes());
-    wait / 2 + drawn % (wait / 2 + 1)
+    let wait = ADVICE_RETRY_MS << refusals.saturating_sub(1).min(ADVICE_RETRY_DOUBLINGS);
+    let hash = xxh3::xxh3_64(&(step.job.0 ^ u64::from(refusals)).to_le_bytes());
+    wait / 2 + hash % (wait / 2 + 1)
 }
 
 /// Service time of pending requests for non-urgent steps, for each connection, ms: one of a gang's
 /// requests, or a few others. More requests would only queue, all of them for longer than a
 /// reservation or a ticket is valid, and would have to be repeated. Steps wait in order of rank
 /// instead.
-const LINE_MS: f64 = 900.0;
+const PENDING_MS_PER_CONNECTION: f64 = 900.0;
 
 /// Share of this time that gangs' requests may take. They are long and come first by rank: without
 /// a share of their own, other non-urgent steps would wait as long as there are gangs to request
 /// advice for.
-const GANGS_PART: f64 = 0.75;
+const GANG_SHARE: f64 = 0.75;
 
 /// Maximum number of runners that the service accepts in one request.
-pub const MOST_NAMED: usize = 100;
+pub const MAX_NAMED: usize = 100;
 
 /// Kind of an advice request: decides how many requests may be pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,25 +58,25 @@
     /// For a gang of a non-urgent queue.
     Gang,
     /// For another step of a non-urgent queue.
-    Patient,
+    Other,
 }
 
 /// Pending requests for a step.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PendingRequests {
     kind: Kind,
-    questions: u32,
+    count: u32,
     /// Time that the service takes for all of them, ms.
     cost: f64,
 }
 
 /// All pending requests.
 #[derive(Debug, Default)]
-pub(super) struct Questions {
-    by_step: BTreeMap<StepId, Asked>,
+pub(super) struct AdviceRequests {
+    by_step: BTreeMap<StepId, PendingRequests>,
     /// Runners named in requests for steps of single tasks, and the capacity that each is expected
     /// to lose to the step.
-    wanted: BTreeMap<StepId, (Vec<RunnerKey>, Resources)>,
+    demands: BTreeMap<StepId, (Vec<RunnerKey>, Resources)>,
     /// Number of steps with pending requests, by partition and whether their queue is non-urgent.
     steps: BTreeMap<(Part, bool), usize>,
     /// Service time of pending requests for gangs of non-urgent queues, ms.
@@ -90,36 +90,37 @@
     (Part::of(step.job), kind != Kind::Urgent)
 }
 
-impl Questions {
+impl AdviceRequests {
     /// Adds to the service time of the pending requests of a kind.
-    fn add(&mut self, kind: Kind, cost: f64) {
+    fn add_cost(&mut self, kind: Kind, cost: f64) {
         match kind {
             Kind::Urgent => {}
             Kind::Gang => self.gangs += cost,
-            Kind::Patient => self.others += cost,
+            Kind::Other => self.others += cost,
         }
     }
 
-    fn ask(&mut self, step: StepId, kind: Kind, cost: f64) {
-        let asked = self.by_step.entry(step).or_insert(Asked { kind, questions: 0, cost: 0.0 });
-        if asked.questions == 0 {
+    fn add_request(&mut self, step: StepId, kind: Kind, cost: f64) {
+        let pending =
+            self.by_step.entry(step).or_insert(PendingRequests { kind, count: 0, cost: 0.0 });
+        if pending.count == 0 {
             *self.steps.entry(key(step, kind)).or_default() += 1;
         }
-        asked.questions += 1;
-        asked.cost += cost;
-        self.add(kind, cost);
+        pending.count += 1;
+        pending.cost += cost;
+        self.add_cost(kind, cost);
     }
 
     fn answered(&mut self, step: StepId) {
-        let Some(asked) = self.by_step.get_mut(&step) else { return };
-        let (kind, cost) = (asked.kind, asked.cost / f64::from(asked.questions));
-        asked.questions -= 1;
-        asked.cost -= cost;
-        if asked.questions == 0 {
+        let Some(pending) = self.by_step.get_mut(&step) else { return };
+        let (kind, cost) = (pending.kind, pending.cost / f64::from(pending.count));
+        pending.count -= 1;
+        pending.cost -= cost;
+        if pending.count == 0 {
             self.by_step.remove(&step);
             self.steps.entry(key(step, kind)).and_modify(|n| *n -= 1);
         }
-        self.add(kind, -cost);
+        self.add_cost(kind, -cost);
         if self.by_step.is_empty() {
             // Removes accumulated rounding errors.
             (self.gangs, self.others) = (0.0, 0.0);
@@ -127,82 +128,89 @@
     }
 
     /// Records the capacity that a step is expected to use on the runners named in its request.
-    pub fn want(&mut self, step: StepId, named: Vec<RunnerKey>, each: Resources) {
-        self.wanted.insert(step, (named, each));
+    pub fn record_demand(&mut self, step: StepId, named: Vec<RunnerKey>, each: Resources) {
+        self.demands.insert(step, (named, each));
     }
 
     /// Removes the record of an answered request: the runners named, and the capacity that was
     /// recorded for each.
-    fn unwanted(&mut self, step: StepId) -> impl Iterator<Item = (RunnerKey, Resources)> {
-        let (named, each) = self.wanted.remove(&step).unwrap_or_default();
+    fn take_demand(&mut self, step: StepId) -> impl Iterator<Item = (RunnerKey, Resources)> {
+        let (named, each) = self.demands.remove(&step).unwrap_or_default();
         named.into_iter().map(move |k| (k, each))
     }
 
     /// Number of steps of a partition with pending requests, of non-urgent queues or of urgent
     /// ones.
-    pub fn steps(&self, part: Part, patient: bool) -> usize {
-        self.steps.get(&(part, patient)).copied().unwrap_or(0)
+    pub fn steps(&self, part: Part, non_urgent: bool) -> usize {
+        self.steps.get(&(part, non_urgent)).copied().unwrap_or(0)
     }
 
-    /// Whether another request of this kind would only wait for one of `lines` connections.
-    fn full(&self, kind: Kind, lines: usize) -> bool {
-        let most = LINE_MS * lines as f64;
-        let all = self.gangs + self.others >= most;
+    /// Whether another request of this kind would only wait for one of `connections` connections.
+    fn full(&self, kind: Kind, connections: usize) -> bool {
+        let limit = PENDING_MS_PER_CONNECTION * connections as f64;
+        let all_full = self.gangs + self.others >= limit;
         let full = match kind {
             Kind::Urgent => false,
-            Kind::Gang => all || self.gangs >= most * GANGS_PART,
-            Kind::Patient => all && self.others >= most * (1.0 - GANGS_PART),
+            Kind::Gang => all_full || self.gangs >= limit * GANG_SHARE,
+            Kind::Other => all_full && self.others >= limit * (1.0 - GANG_SHARE),
         };
-        lines > 0 && full
+        connections > 0 && full
     }
 }
 
 /// Weight of a new answer in a queue's approval rate, per mille: averages over some ten answers.
-const SHARE_WEIGHT: u64 = 100;
+const APPROVAL_RATE_WEIGHT: u64 = 100;
 
 /// Approval rate assumed before the first answer, per mille: low, so that enough runners are named.
-const SHARE_FIRST: u64 = 300;
+const INITIAL_APPROVAL_RATE: u64 = 300;
 
 /// Share of the named runners that a queue's policy approves, per mille.
 #[derive(Clone, Copy, Debug)]
-pub struct Share(u64);
+pub struct ApprovalRate(u64);
 
-impl Default for Share {
+impl Default for ApprovalRate {
     fn default() -> Self {
-        Self(SHARE_FIRST)
+        Self(INITIAL_APPROVAL_RATE)
     }
 }
 
-impl Share {
-    fn note(&mut self, asked: usize, approved: usize) {
-        let new = (approved as u64 * 1000).checked_div(asked as u64).unwrap_or(self.0);
-        self.0 = (self.0 * (1000 - SHARE_WEIGHT) + new * SHARE_WEIGHT) / 1000;
+impl ApprovalRate {
+    fn record(&mut self, named: usize, approved: usize) {
+        let latest = (approved as u64 * 1000).checked_div(named as u64).unwrap_or(self.0);
+        self.0 = (self.0 * (1000 - APPROVAL_RATE_WEIGHT) + latest * APPROVAL_RATE_WEIGHT) / 1000;
     }
 
     /// Average number of approved runners out of `n`.
-    pub fn of(self, n: u64) -> u64 {
+    pub fn expected(self, n: u64) -> u64 {
         n * self.0 / 1000
     }
 
     /// Number of runners to name so that `n` are probably approved: one and a half times the
     /// average need, and two more.
-    pub fn name(self, n: usize) -> usize {
+    pub fn runners_to_name(self, n: usize) -> usize {
         (n as u64 * 1500).div_ceil(self.0.max(50)) as usize + 2
     }
 }
 
 impl Engine {
     /// Whether another request of this kind would only wait for a connection.
-    pub(super) fn lines_busy(&self, kind: Kind) -> bool {
-        self.questions.full(kind, self.lines)
+    pub(super) fn connections_busy(&self, kind: Kind) -> bool {
+        self.advice_requests.full(kind, self.lines)
     }
 
     /// Requests advice about runners for a step.
-    pub(super) fn ask(&mut self, step: StepId, ids: Vec<String>, kind: Kind, cost: f64, now: Now) {
+    pub(super) fn send_advice_request(
+        &mut self,
+        step: StepId,
+        ids: Vec<String>,
+        kind: Kind,
+        cost: f64,
+        now: Now,
+    ) {
         let Some(s) = self.step_mut(step) else { return };
-        s.approvals.asking += 1;
+        s.approvals.pending += 1;
         let waited = now.mono.saturating_sub(s.opened);
-        self.questions.ask(step, kind, cost);
+        self.advice_requests.add_request(step, kind, cost);
         self.counts.asks += 1;
         log::info!(step:% = step, runners = ids.len(), cost_ms = cost, waited_ms = waited;
             "advice asked");
@@ -212,7 +220,7 @@
     /// Validity that a ticket must have left when a placement of a step is decided, ms. A placement
     /// with less would expire while it is stored, and its ticket would have to be requested again.
     pub(super) fn ticket_margin(&self, step: StepId) -> u64 {
-        TICKET_MARGIN_MS + self.storing.took(Part::of(step.job)).min(STORING_MS)
+        TICKET_MARGIN_MS + self.storing.took(Part::of(step.job)).min(MAX_STORING_MARGIN_MS)
     }
 
     /// Handles the advice service's answer to a request that named `ids`.
@@ -223,37 +231,37 @@
         res: Result<Advice, AdviceError>,
         now: Now,
     ) {
-        self.questions.answered(step);
-        for (k, each) in self.questions.unwanted(step) {
+        self.advice_requests.answered(step);
+        for (k, each) in self.advice_requests.take_demand(step) {
             let r = self.runners.get_mut(k);
-            r.wanted = r.wanted.sub(&each);
+            r.anticipated = r.anticipated.sub(&each);
         }
         let Some(job) = self.jobs.get(&step.job) else { return };
         let queue = job.row.queue.clone();
         let approval = self.cat.queues.get(&queue).and_then(|q| q.approval);
-        let usual = approval.map_or(0, |a| a.valid_ms);
+        let default_valid = approval.map_or(0, |a| a.valid_ms);
         let keys: Vec<RunnerKey> = ids.iter().map(|id| self.runner_named(id)).collect();
         if let Ok(advice) = &res {
-            let share = self.shares.entry(queue).or_default();
-            share.note(ids.len(), advice.approved.len());
+            let rate = self.approval_rates.entry(queue).or_default();
+            rate.record(ids.len(), advice.approved.len());
         }
-        let given: Option<Vec<(RunnerKey, String)>> = res.as_ref().ok().map(|a| {
+        let tickets: Option<Vec<(RunnerKey, String)>> = res.as_ref().ok().map(|a| {
             let keyed = |t: &Ticket| (self.runner_named(&t.id), t.ticket.clone());
             a.approved.iter().map(keyed).collect()
         });
-        self.stirred.insert(step);
+        self.updated.insert(step);
         let Some(s) = self.step_mut(step) else { return };
         let a = &mut s.approvals;
-        a.asking = a.asking.saturating_sub(1);
+        a.pending = a.pending.saturating_sub(1);
         match res {
             Ok(advice) => {
-                let valid = if advice.valid_ms > 0 { advice.valid_ms } else { usual };
+                let valid = if advice.valid_ms > 0 { advice.valid_ms } else { default_valid };
                 let end = now.mono + valid;
                 log::info!(step:% = step, asked = ids.len(), approved = advice.approved.len(),
                     valid_ms = valid; "advice given");
                 a.refusals = 0;
                 a.denied.extend(keys.into_iter().filter(|k| !a.tickets.contains_key(k)));
-                for (k, ticket) in given.unwrap_or_default() {
+                for (k, ticket) in tickets.unwrap_or_default() {
                     a.denied.remove(&k);
                     a.tickets.insert(k, (ticket, end));
                 }
--- a/src/control/engine/ask.rs
+++ b/src/control/engine/ask.rs
@@ -11,9 +11,9 @@
 //! find capacity for all members: a wide gang that names a hundred runners at a time misses its
 //! objective before enough of them are known.
 
-use super::advice::{Kind, MOST_NAMED};
-use super::plan::View;
-use super::reserve::Claims;
+use super::advice::{Kind, MAX_NAMED};
+use super::plan::StepView;
+use super::reserve::GangReservations;
 use super::{Engine, Now, RunnerKey};
 use crate::control::place::{self, Place, Placement};
 use crate::kernel::res::Resources;
@@ -23,55 +23,67 @@
 
 /// Maximum number of runners named in a request for single tasks: a queue's objective allows for a
 /// request that names 30.
-pub(super) const ASK_FIRST: usize = 30;
+pub(super) const MAX_NAMED_SINGLE: usize = 30;
 
 /// Number of approved runners with free capacity that are named for each waiting task when tickets
 /// have expired.
-const ASK_AGAIN: usize = 2;
+const RENEWALS_PER_TASK: usize = 2;
 
 /// Capacity that a gang's requests should find, per cent of its demand: other tasks take part of it
 /// before the answers arrive.
-const GANG_SPARE: u64 = 250;
+const GANG_SEARCH_PERCENT: u64 = 250;
 
 impl Engine {
     /// Whether there are runners with capacity for a task of the step that no advice request for
     /// the step has named yet.
-    pub(super) fn unasked(&mut self, v: &View<'_>, claims: &Claims, now: Now) -> bool {
+    pub(super) fn has_unnamed_runner(
+        &mut self,
+        v: &StepView<'_>,
+        reserved: &GangReservations,
+        now: Now,
+    ) -> bool {
         let need = v.step.demand();
-        let roomy = self.roomy(&v.queue.service, need.cpu, now);
-        let on = self.spread(v);
-        let fits = |k| self.place_on(v, k, &on, claims, now).is_some_and(|p| need.fits(&p.free));
-        v.queue.approval.is_some() && roomy.into_iter().any(|k| !self.asked_about(v, k) && fits(k))
+        let runners_with_cpu = self.runners_with_cpu(&v.queue.service, need.cpu, now);
+        let on = self.tasks_per_runner(v);
+        let fits = |k| self.place_on(v, k, &on, reserved, now).is_some_and(|p| need.fits(&p.free));
+        v.queue.approval.is_some()
+            && runners_with_cpu.into_iter().any(|k| !self.advice_known(v, k) && fits(k))
     }
 
     /// Whether a runner was approved or denied for the step.
-    fn asked_about(&self, v: &View<'_>, k: RunnerKey) -> bool {
+    fn advice_known(&self, v: &StepView<'_>, k: RunnerKey) -> bool {
         let approvals = self.step(v.id).map(|s| &s.approvals);
         approvals.is_some_and(|a| a.tickets.contains_key(&k) || a.denied.contains(&k))
     }
 
     /// Requests advice about runners: about those not named yet or, if there are none, about
     /// approved ones with free capacity whose tickets have expired.
-    pub(super) fn ask_for(&mut self, v: &View<'_>, claims: &Claims, missing: usize, now: Now) {
+    pub(super) fn request_advice(
+        &mut self,
+        v: &StepView<'_>,
+        reserved: &GangReservations,
+        missing: usize,
+        now: Now,
+    ) {
         let Some(a) = self.step(v.id).map(|s| &s.approvals) else { return };
-        let held_back = self.lines_busy(v.kind());
-        if v.queue.approval.is_none() || a.asking > 0 || a.retry_at > now.mono || held_back {
+        let held_back = self.connections_busy(v.kind());
+        if v.queue.approval.is_none() || a.pending > 0 || a.retry_at > now.mono || held_back {
             return;
         }
         // A gang for which the approved runners have capacity has reserved it and does not get
         // here.
         let mut picked = match v.step.gang {
             true => Vec::new(),
-            false => self.held_with_room(v, claims, now),
+            false => self.approved_with_capacity(v, reserved, now),
         };
-        picked.truncate(missing * ASK_AGAIN);
+        picked.truncate(missing * RENEWALS_PER_TASK);
         if picked.is_empty() {
-            picked = self.strangers(v, claims, missing, now);
+            picked = self.unnamed_runners(v, reserved, missing, now);
         }
         if v.kind() == Kind::Urgent {
-            self.want(v, &picked, missing);
+            self.record_demand(v, &picked, missing);
         }
-        self.ask_about(v, &picked, now);
+        self.request_advice_for(v, &picked, now);
     }
 
     /// Records the capacity that `missing` tasks will probably use on the named runners, until the
@@ -79,61 +91,74 @@
     /// whose capacity is gone with the first answers, and the other steps would repeat their
     /// requests again and again. Non-urgent steps are left out: their requests take long, and would
     /// spread lookups over the cell.
-    fn want(&mut self, v: &View<'_>, named: &[RunnerKey], missing: usize) {
-        let share = self.shares.get(&v.queue.name).copied().unwrap_or_default();
-        let approved = share.of(named.len() as u64 * 100).max(100);
-        let part = |all: u64| all * missing as u64 * 100 / approved;
+    fn record_demand(&mut self, v: &StepView<'_>, named: &[RunnerKey], missing: usize) {
+        let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
+        let approved = rate.expected(named.len() as u64 * 100).max(100);
+        let per_runner = |all: u64| all * missing as u64 * 100 / approved;
         let need = v.step.demand();
-        let each = Resources { cpu: part(need.cpu), mem: part(need.mem), acc: part(need.acc) };
+        let each = Resources {
+            cpu: per_runner(need.cpu),
+            mem: per_runner(need.mem),
+            acc: per_runner(need.acc),
+        };
         for k in named {
             let r = self.runners.get_mut(*k);
-            r.wanted = r.wanted.add(&each);
+            r.anticipated = r.anticipated.add(&each);
         }
-        self.questions.want(v.id, named.to_vec(), each);
+        self.advice_requests.record_demand(v.id, named.to_vec(), each);
     }
 
     /// Approved runners with free capacity, whether or not their tickets have expired.
-    fn held_with_room(&mut self, v: &View<'_>, claims: &Claims, now: Now) -> Vec<RunnerKey> {
+    fn approved_with_capacity(
+        &mut self,
+        v: &StepView<'_>,
+        reserved: &GangReservations,
+        now: Now,
+    ) -> Vec<RunnerKey> {
         let need = v.step.demand();
-        let known = self.known(v, claims, now);
-        known.into_iter().filter(|p| need.fits(&p.free)).map(|p| p.key).collect()
+        let candidates = self.candidates(v, reserved, now);
+        candidates.into_iter().filter(|p| need.fits(&p.free)).map(|p| p.key).collect()
     }
 
     /// Runners to name that were not named yet.
-    fn strangers(
+    fn unnamed_runners(
         &mut self,
-        v: &View<'_>,
-        claims: &Claims,
+        v: &StepView<'_>,
+        reserved: &GangReservations,
         missing: usize,
         now: Now,
     ) -> Vec<RunnerKey> {
         let Some(a) = self.step(v.id).map(|s| &s.approvals) else { return Vec::new() };
         let all_known = a.tickets.len() + a.denied.len() >= self.runners.len();
-        let some_held = !a.tickets.is_empty();
-        if all_known || (!v.step.gang && some_held && !self.unasked(v, claims, now)) {
+        let some_approved = !a.tickets.is_empty();
+        if all_known
+            || (!v.step.gang && some_approved && !self.has_unnamed_runner(v, reserved, now))
+        {
             return Vec::new();
         }
         let need = v.step.demand();
         // Ordered by free capacity, largest first.
-        let all = self.roomy(&v.queue.service, 0, now);
-        let on = self.spread(v);
-        let strange = |k: &RunnerKey| !self.asked_about(v, *k);
-        let place = |k: RunnerKey| self.place_on(v, k, &on, claims, now);
-        let places = all.iter().copied().filter(strange).filter_map(place);
+        let all = self.runners_with_cpu(&v.queue.service, 0, now);
+        let on = self.tasks_per_runner(v);
+        let unnamed = |k: &RunnerKey| !self.advice_known(v, *k);
+        let place = |k: RunnerKey| self.place_on(v, k, &on, reserved, now);
+        let places = all.iter().copied().filter(unnamed).filter_map(place);
         match v.kind() {
-            Kind::Gang => self.names_of_gang(v, places, missing),
-            Kind::Urgent | Kind::Patient => {
-                let left = |p: &Place<RunnerKey>| p.free.sub(&self.runners.get(p.key).wanted);
-                let (mut fit, full): (Vec<_>, Vec<_>) = places.partition(|p| need.fits(&left(p)));
-                self.order(v, &mut fit);
-                self.names(v, fit.into_iter().chain(full), missing)
+            Kind::Gang => self.select_gang_runners(v, places, missing),
+            Kind::Urgent | Kind::Other => {
+                let remaining =
+                    |p: &Place<RunnerKey>| p.free.sub(&self.runners.get(p.key).anticipated);
+                let (mut fit, full): (Vec<_>, Vec<_>) =
+                    places.partition(|p| need.fits(&remaining(p)));
+                self.sort_by_policy(v, &mut fit);
+                self.select_runners(v, fit.into_iter().chain(full), missing)
             }
         }
     }
 
     /// Orders runners with enough capacity, given largest first, by the placement policy: tasks can
     /// only be placed on runners that were named.
-    fn order(&self, v: &View<'_>, fit: &mut [Place<RunnerKey>]) {
+    fn sort_by_policy(&self, v: &StepView<'_>, fit: &mut [Place<RunnerKey>]) {
         match self.rules.placement {
             Placement::BestFit => fit.reverse(),
             Placement::FirstFit => fit.sort_unstable_by_key(|p| p.key),
@@ -143,22 +168,22 @@
 
     /// Runners to name so that enough are probably approved for `missing` tasks, each counted with
     /// as many tasks as it has capacity for.
-    fn names(
+    fn select_runners(
         &self,
-        v: &View<'_>,
+        v: &StepView<'_>,
         places: impl Iterator<Item = Place<RunnerKey>>,
         missing: usize,
     ) -> Vec<RunnerKey> {
-        let share = self.shares.get(&v.queue.name).copied().unwrap_or_default();
-        let most = if v.step.gang { MOST_NAMED } else { ASK_FIRST };
-        let (mut left, mut wanted) = (missing as u64, 0);
+        let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
+        let most = if v.step.gang { MAX_NAMED } else { MAX_NAMED_SINGLE };
+        let (mut left, mut needed) = (missing as u64, 0);
         let mut out = Vec::new();
         for p in places.take(most) {
-            if left == 0 && out.len() >= share.name(wanted) {
+            if left == 0 && out.len() >= rate.runners_to_name(needed) {
                 break;
             }
             if left > 0 {
-                wanted += 1;
+                needed += 1;
                 left = left.saturating_sub(place::slots(&p, &v.step.demand()).max(1).into());
             }
             out.push(p.key);
@@ -168,35 +193,35 @@
 
     /// Runners to name for a gang of `count` tasks: requests are filled up, since naming more
     /// runners costs little more.
-    fn names_of_gang(
+    fn select_gang_runners(
         &self,
-        v: &View<'_>,
+        v: &StepView<'_>,
         mut places: impl Iterator<Item = Place<RunnerKey>>,
         count: usize,
     ) -> Vec<RunnerKey> {
-        let share = self.shares.get(&v.queue.name).copied().unwrap_or_default();
-        let wanted = count as u64 * GANG_SPARE;
+        let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
+        let target = count as u64 * GANG_SEARCH_PERCENT;
         let mut slots = 0;
         let mut out = Vec::new();
-        while share.of(slots * 100) < wanted {
-            let question: Vec<_> = places.by_ref().take(MOST_NAMED).collect();
-            if question.is_empty() {
+        while rate.expected(slots * 100) < target {
+            let batch: Vec<_> = places.by_ref().take(MAX_NAMED).collect();
+            if batch.is_empty() {
                 break;
             }
             let found = |p: &Place<RunnerKey>| u64::from(place::slots(p, &v.step.demand()));
-            slots += question.iter().map(found).sum::<u64>();
-            out.extend(question.iter().map(|p| p.key));
+            slots += batch.iter().map(found).sum::<u64>();
+            out.extend(batch.iter().map(|p| p.key));
         }
         out
     }
 
     /// Requests advice about runners, in as many requests as the service's limit requires.
-    pub(super) fn ask_about(&mut self, v: &View<'_>, runners: &[RunnerKey], now: Now) {
+    pub(super) fn request_advice_for(&mut self, v: &StepView<'_>, runners: &[RunnerKey], now: Now) {
         let Some(approval) = v.queue.approval else { return };
-        for named in runners.chunks(MOST_NAMED) {
+        for named in runners.chunks(MAX_NAMED) {
             let cost = approval.cost_ms(named.len());
             let ids = named.iter().map(|k| self.runners.get(*k).id.clone()).collect();
-            self.ask(v.id, ids, v.kind(), cost, now);
+            self.send_advice_request(v.id, ids, v.kind(), cost, now);
         }
     }
 }
--- a/src/control/engine/commit.rs
+++ b/src/control/engine/commit.rs
@@ -14,11 +14,11 @@
 /// Delay before a change of only the state shown to callers is stored, ms, unless another change of
 /// the job is stored earlier. Most lookups end within it, which saves them one write of three.
 /// Counts of waiting jobs may be 2 s old, including the poll and the write.
-const LAZY_MS: u64 = 1_000;
+const STATE_DELAY_MS: u64 = 1_000;
 
 /// One part in this many of a batch goes to the changes that have waited longest, so that none
 /// starves. The rest goes by rank.
-const OLDEST_PART: usize = 4;
+const OLDEST_FRACTION: usize = 4;
 
 /// What an unstored change delays; lower values are stored first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -96,7 +96,7 @@
         let mut oldest: Vec<(u64, JobId)> = waiting.collect();
         if oldest.len() > max {
             oldest.sort_unstable();
-            let by_rank = oldest.split_off(max / OLDEST_PART);
+            let by_rank = oldest.split_off(max / OLDEST_FRACTION);
             let mut by_rank: Vec<(Rank, u64, JobId)> =
                 by_rank.into_iter().map(|(at, id)| (self.rank_of(id), at, id)).collect();
             by_rank.sort_unstable();
@@ -120,22 +120,22 @@
 
     /// Counts a new revision of a job of which only the state shown to callers has changed, which
     /// the next leader does not need.
-    pub(super) fn touch_later(&mut self, id: JobId, now: Now) {
+    pub(super) fn mark_state_changed(&mut self, id: JobId, now: Now) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.rev += 1;
-            self.lazy.insert((now.mono + LAZY_MS, id));
+            self.deferred.insert((now.mono + STATE_DELAY_MS, id));
         }
     }
 
     /// Queues the deferred states that are due and were not stored with another change.
-    pub(super) fn store_due(&mut self, now: Now) {
-        while let Some(&(due, id)) = self.lazy.first() {
+    pub(super) fn queue_deferred(&mut self, now: Now) {
+        while let Some(&(due, id)) = self.deferred.first() {
             if due > now.mono {
                 return;
             }
-            self.lazy.remove(&(due, id));
+            self.deferred.remove(&(due, id));
             if self.jobs.get(&id).is_some_and(|j| j.storing.unwrap_or(j.stored) < j.rev) {
-                self.mark(id);
+                self.queue_commit(id);
             }
         }
     }
@@ -166,14 +166,14 @@
         let mut rows = [0; parts::COUNT];
         batch.writes.iter().for_each(|w| rows[Part::of(w.job).index()] += 1);
         for part in Part::all().filter(|p| rows[p.index()] > 0) {
-            self.storing.note(part, rows[part.index()], batch.at, now.mono);
+            self.storing.record_commit(part, rows[part.index()], batch.at, now.mono);
         }
         for w in &batch.writes {
             let Some(job) = self.jobs.get_mut(&w.job) else { continue };
             job.version = version;
             job.stored = w.rev;
             job.storing = None;
-            self.note_stored(w.job, w.rev, now);
+            self.record_stored(w.job, w.rev, now);
             let Some(job) = self.jobs.get(&w.job) else { continue };
             let steps: Vec<StepId> = job.steps.iter().map(|s| s.id).collect();
             for step in steps {
@@ -186,7 +186,7 @@
         for w in &batch.writes {
             if let Some(job) = self.jobs.get_mut(&w.job) {
                 job.storing = None;
-                self.mark(w.job);
+                self.queue_commit(w.job);
             }
         }
     }
--- a/src/control/engine/forecast.rs
+++ b/src/control/engine/forecast.rs
@@ -7,20 +7,20 @@
 impl Job {
     /// Computes the critical paths, ms, from the run times of completed steps, the predicted run
     /// times of the others, and the time of an advice request for each.
-    fn forecast(&mut self, pace: &Pace, asking: u64) {
-        let known = |i: usize| self.steps.get(i).map_or(0, |s| s.took);
-        let time = |(i, s): (usize, &Step)| match known(i) {
-            0 => pace.expect(s.estimate) + asking,
-            took => took + asking,
+    fn forecast(&mut self, model: &Pace, advice_ms: u64) {
+        let run_time = |i: usize| self.steps.get(i).map_or(0, |s| s.took);
+        let time = |(i, s): (usize, &Step)| match run_time(i) {
+            0 => model.expect(s.estimate) + advice_ms,
+            took => took + advice_ms,
         };
         let times: Vec<u64> = self.row.spec.steps.iter().enumerate().map(time).collect();
-        self.tails = tails(&self.row.spec.steps, &times);
-        self.longest = self.tails.iter().copied().max().unwrap_or(0);
+        self.path_ms = critical_paths(&self.row.spec.steps, &times);
+        self.longest = self.path_ms.iter().copied().max().unwrap_or(0);
     }
 }
 
 /// Longest sum of `times` along the dependencies from each step to the end of the job.
-fn tails(steps: &[Step], times: &[u64]) -> Vec<u64> {
+fn critical_paths(steps: &[Step], times: &[u64]) -> Vec<u64> {
     let mut out = times.to_vec();
     for i in (0..steps.len()).rev() {
         for &a in &steps[i].after {
@@ -36,17 +36,17 @@
     pub(super) fn forecast(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let approval = self.cat.queues.get(&job.row.queue).and_then(|q| q.approval);
-        let asking = approval.map_or(0, |a| a.cost_ms(super::ask::ASK_FIRST) as u64);
-        let pace = self.paces.get(&job.row.queue).copied().unwrap_or_default();
-        job.forecast(&pace, asking);
+        let advice_ms = approval.map_or(0, |a| a.cost_ms(super::ask::MAX_NAMED_SINGLE) as u64);
+        let model = self.run_times.get(&job.row.queue).copied().unwrap_or_default();
+        job.forecast(&model, advice_ms);
     }
 
     /// Records the run time of a completed task. Called before its run is released.
-    pub(super) fn note_time(&mut self, id: TaskId, gang: bool, now: Now) {
+    pub(super) fn record_run_time(&mut self, id: TaskId, gang: bool, now: Now) {
         let Some(step) = self.step_mut(id.step) else { return };
         let run = step.tasks.get(id.index as usize).and_then(|t| t.run.as_ref());
         let began = match gang {
-            true => progress::whole_since(step),
+            true => progress::all_running_since(step),
             false => run.map(|r| r.progress.began),
         };
         let Some(began) = began.filter(|&at| at > 0) else { return };
@@ -55,12 +55,12 @@
 
     /// Updates the queue's run-time model with a step that has just completed, unless one of its
     /// tasks was started more than once.
-    pub(super) fn learn(&mut self, id: StepId) {
+    pub(super) fn update_run_times(&mut self, id: StepId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
         let Some(step) = job.step(id).filter(|s| s.took > 0) else { return };
         if step.tasks.iter().all(|t| t.attempt <= Attempt::default().next()) {
             let (estimate, took) = (job.spec(id).estimate, step.took);
-            self.paces.entry(job.row.queue.clone()).or_default().note(estimate, took);
+            self.run_times.entry(job.row.queue.clone()).or_default().note(estimate, took);
         }
         self.forecast(id.job);
     }
--- a/src/control/engine/gangs.rs
+++ b/src/control/engine/gangs.rs
@@ -7,7 +7,7 @@
 //! that ended first.
 
 use super::losses::Loss;
-use super::runs::StopWhy;
+use super::runs::StopReason;
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::{Attempt, StepId, TaskId};
 
@@ -25,62 +25,63 @@
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let broken = job.spec(id.step).gang && job.step(id.step).is_some_and(|s| !s.done());
         if broken {
-            self.stop_step(id.step, StopWhy::GangBroken, now);
+            self.stop_step(id.step, StopReason::GangBroken, now);
         }
     }
 
     /// Records that a member of a gang ended because another had.
-    pub(super) fn note_broken(&mut self, step: StepId, attempt: Attempt) {
+    pub(super) fn record_broken(&mut self, step: StepId, attempt: Attempt) {
         let Some(s) = self.step_mut(step) else { return };
         if s.broken.attempt != attempt {
             s.broken = Broken { attempt, count: 0 };
         }
         s.broken.count += 1;
-        self.torn.insert(step);
+        self.broken_gangs.insert(step);
     }
 
     /// Releases members of broken gangs that must have ended on a runner that does not answer.
-    pub(super) fn mend_torn(&mut self, now: Now) {
-        let torn: Vec<StepId> = self.torn.iter().copied().collect();
-        for step in torn {
-            let left = self.members_left(step);
-            if left.is_empty() {
-                self.torn.remove(&step);
-            } else if let Some(k) = self.ended_unseen(step, &left) {
-                log::info!(step:% = step, members = left.len(), runner = self.runners.get(k).id;
+    pub(super) fn release_broken_gangs(&mut self, now: Now) {
+        let broken_gangs: Vec<StepId> = self.broken_gangs.iter().copied().collect();
+        for step in broken_gangs {
+            let remaining = self.remaining_members(step);
+            if remaining.is_empty() {
+                self.broken_gangs.remove(&step);
+            } else if let Some(k) = self.unreported_runner(step, &remaining) {
+                log::info!(step:% = step, members = remaining.len(),
+                    runner = self.runners.get(k).id;
                     "the rest of a broken gang is over where nobody answers: written off");
-                self.torn.remove(&step);
-                let over = self.runners.get(k).lease_over(self.foreign_over());
+                self.broken_gangs.remove(&step);
+                let lease_end = self.runners.get(k).lease_end(self.predecessor_leases_end());
                 if let Some(s) = self.step_mut(step) {
-                    s.unseen.insert(s.broken.attempt, over);
+                    s.unreported.insert(s.broken.attempt, lease_end);
                 }
-                let left: Vec<TaskId> = left.into_iter().map(|(id, _)| id).collect();
-                self.note_lost(k, &left, Loss::GangBroken, now);
-                for id in left {
+                let remaining: Vec<TaskId> = remaining.into_iter().map(|(id, _)| id).collect();
+                self.record_lost(k, &remaining, Loss::GangBroken, now);
+                for id in remaining {
                     self.counts.written_off += 1;
                     self.release(id, now);
                 }
-                self.settle(step.job, now);
+                self.update_state(step.job, now);
             }
         }
     }
 
     /// Handles a completion of a run that was already marked as lost: the loss is withdrawn. A
     /// gang's failure counts, although another attempt has been made since.
-    pub(super) fn seen_late(&mut self, id: TaskId, attempt: Attempt, failed: bool, now: Now) {
+    pub(super) fn late_completion(&mut self, id: TaskId, attempt: Attempt, failed: bool, now: Now) {
         if let Some(task) = self.task_mut(id) {
             task.losses.withdraw(attempt);
         }
         let Some(s) = self.step_mut(id.step) else { return };
-        if s.unseen.remove(&attempt).is_some() && failed {
+        if s.unreported.remove(&attempt).is_some() && failed {
             s.gang_fails += 1;
-            self.touch(id.step.job);
-            self.settle(id.step.job, now);
+            self.mark_changed(id.step.job);
+            self.update_state(id.step.job, now);
         }
     }
 
     /// Members of the gang's last attempt that run or may run, and their runners.
-    fn members_left(&self, step: StepId) -> Vec<(TaskId, RunnerKey)> {
+    fn remaining_members(&self, step: StepId) -> Vec<(TaskId, RunnerKey)> {
         let Some(s) = self.step(step) else { return Vec::new() };
         let of = |(id, t): (TaskId, &super::Task)| {
             let run = t.run.as_ref().filter(|_| t.attempt == s.broken.attempt)?;
@@ -93,12 +94,16 @@
     /// does not follow. It follows if all other members ended as broken, since the first one to end
     /// was not broken by another, and polls of the runner fail (a runner that answers will report
     /// the completion).
-    fn ended_unseen(&self, step: StepId, left: &[(TaskId, RunnerKey)]) -> Option<RunnerKey> {
+    fn unreported_runner(
+        &self,
+        step: StepId,
+        remaining: &[(TaskId, RunnerKey)],
+    ) -> Option<RunnerKey> {
         let s = self.step(step)?;
-        let &(_, k) = left.first()?;
-        let one = left.iter().all(|&(_, on)| on == k);
-        let others = s.broken.count + left.len() == s.tasks.len();
-        (one && others && self.runners.get(k).dark).then_some(k)
+        let &(_, k) = remaining.first()?;
+        let one = remaining.iter().all(|&(_, on)| on == k);
+        let others = s.broken.count + remaining.len() == s.tasks.len();
+        (one && others && self.runners.get(k).poll_failed).then_some(k)
     }
 
     /// Whether a gang may be started again. Each completion that was not received may be a failure,
@@ -107,7 +112,7 @@
     pub(super) fn may_retry(&self, step: StepId, now: Now) -> bool {
         let Some((s, job)) = self.step(step).zip(self.jobs.get(&step.job)) else { return false };
         let Some(queue) = self.cat.queues.get(&job.row.queue) else { return false };
-        let open = s.unseen.values().filter(|over| **over > now.mono).count();
+        let open = s.unreported.values().filter(|lease_end| **lease_end > now.mono).count();
         s.gang_fails + (open as u32) < queue.max_fails
     }
 }
--- a/src/control/engine/jobs.rs
+++ b/src/control/engine/jobs.rs
@@ -28,7 +28,7 @@
     /// Consecutive runs that were lost with their runners.
     pub losses: Losses,
     /// Whether it has been preempted. A task is preempted at most once.
-    pub yielded: bool,
+    pub preempted: bool,
 }
 
 impl Task {
@@ -46,7 +46,7 @@
     /// Runners that may not run the step.
     pub denied: BTreeSet<RunnerKey>,
     /// Number of pending advice requests.
-    pub asking: u32,
+    pub pending: u32,
     /// Consecutive advice requests that were refused because the service was busy.
     pub refusals: u32,
     /// No advice request is sent before this time, local ms.
@@ -68,13 +68,13 @@
     pub broken: Broken,
     /// Attempts of the gang with a member whose completion was not received, each of which may have
     /// been a failure, and when the lease of that member's runner expires, local ms.
-    pub unseen: BTreeMap<Attempt, u64>,
+    pub unreported: BTreeMap<Attempt, u64>,
     /// Results of advice requests.
     pub approvals: Approvals,
     /// When it could first be placed, local ms.
     pub opened: u64,
     /// When preemption for it was last attempted, local ms.
-    pub tried_at: u64,
+    pub preempt_tried: u64,
     /// Longest run time of its completed tasks so far, ms; for a gang, since all members were
     /// running.
     pub took: u64,
@@ -88,10 +88,10 @@
             gang_fails: 0,
             failed_attempt: Attempt::default(),
             broken: Broken::default(),
-            unseen: BTreeMap::new(),
+            unreported: BTreeMap::new(),
             approvals: Approvals::default(),
             opened: 0,
-            tried_at: 0,
+            preempt_tried: 0,
             took: 0,
         }
     }
@@ -135,7 +135,7 @@
     /// Version of its progress row in the store.
     pub version: u64,
     /// Length of the critical path from each step on, ms.
-    pub tails: Vec<u64>,
+    pub path_ms: Vec<u64>,
     /// Length of the critical path of the whole job, ms.
     pub longest: u64,
 }
@@ -161,7 +161,7 @@
             storing: None,
             unstored: None,
             version: 0,
-            tails: Vec::new(),
+            path_ms: Vec::new(),
             longest: 0,
         }
     }
@@ -207,7 +207,7 @@
         self.steps.iter().any(|s| s.tasks.iter().any(|t| t.run.is_some()))
     }
 
-    /// Time after its begin in which it meets its queue's objective, ms.
+    /// Time from its begin within which it has to end to meet its objective, ms.
     pub fn objective(&self, queue: &Queue) -> u64 {
         (self.longest as f64 * queue.slack) as u64 + queue.latency_ms
     }
--- a/src/control/engine/lifecycle.rs
+++ b/src/control/engine/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Life cycle of jobs: added, opened step by step, cancelled, ended and removed.
 
-use super::runs::StopWhy;
+use super::runs::StopReason;
 use super::{Engine, Job, Now, StepRun};
 use crate::control::crashes::Losses;
 use crate::control::model::{JobId, JobState, StepId};
@@ -23,22 +23,22 @@
         let mut job = Job::new(id, row);
         if let Some((version, p)) = &p {
             job.version = *version;
-            let over = self.foreign_over();
-            job.load(p, over, &mut |name| self.runner_named(name));
+            let leases_end = self.predecessor_leases_end();
+            job.load(p, leases_end, &mut |name| self.runner_named(name));
         }
         for step in &job.steps {
             for task in step.ids() {
                 let t = &step.tasks[task.index as usize];
                 if let Some(run) = &t.run {
                     let need = job.spec(step.id).demand();
-                    self.runners.get_mut(run.runner).occupy(task, t.attempt, need, t.losses);
+                    self.runners.get_mut(run.runner).allocate(task, t.attempt, need, t.losses);
                 }
             }
         }
         // A new leader adds all jobs of the last minutes at once, most of which have ended: a line
         // for each would displace the lines about the takeover.
         if job.state.ended() {
-            self.old.insert((job.ended, id));
+            self.ended_jobs.insert((job.ended, id));
         } else {
             log::info!(job:% = id, queue = job.row.queue, state = job.state.name(),
                 version = job.version; "job known to the scheduler");
@@ -47,14 +47,14 @@
         self.forecast(id);
         self.open_steps_of(id, now);
         if p.is_some() {
-            self.settle(id, now);
+            self.update_state(id, now);
         }
     }
 
     /// Marks a job as running once the start of one of its tasks is confirmed, and not before:
     /// while its starts are unanswered, on a runner that has just become unreachable, the job must
     /// be included in the count of waiting jobs that callers read.
-    pub(super) fn begin(&mut self, id: JobId, occurrence: u32, now: Now) {
+    pub(super) fn mark_running(&mut self, id: JobId, occurrence: u32, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state != JobState::Queued {
             return;
@@ -63,7 +63,7 @@
         let waited = now.wall.saturating_sub(job.begin(occurrence));
         metrics::histogram!("control_wait_seconds", "queue" => job.row.queue.clone())
             .record(waited as f64 / 1000.0);
-        self.touch_later(id, now);
+        self.mark_state_changed(id, now);
     }
 
     /// Cancels a job, unless it has ended.
@@ -85,7 +85,7 @@
         for step in ids {
             match job.row.spec.due(step.occurrence) {
                 Some(due) if due > now.wall => {
-                    self.timed.insert((due, id, step.occurrence));
+                    self.not_due.insert((due, id, step.occurrence));
                     continue;
                 }
                 _ => {}
@@ -97,7 +97,7 @@
             if !s.waits() || !self.open.insert(step) {
                 continue;
             }
-            self.stirred.insert(step);
+            self.updated.insert(step);
             if s.opened == 0 {
                 s.opened = now.mono;
             }
@@ -106,11 +106,11 @@
 
     /// Opens occurrences that have come due.
     pub(super) fn open_due(&mut self, now: Now) {
-        while let Some(&(due, id, k)) = self.timed.first() {
+        while let Some(&(due, id, k)) = self.not_due.first() {
             if due > now.wall {
                 return;
             }
-            self.timed.remove(&(due, id, k));
+            self.not_due.remove(&(due, id, k));
             self.open_steps_of(id, now);
         }
     }
@@ -120,41 +120,41 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.state = state;
         job.ended = now.wall;
-        self.old.insert((now.wall, id));
+        self.ended_jobs.insert((now.wall, id));
         let steps: Vec<StepId> = job.steps.iter().map(|s| s.id).collect();
         for step in steps {
             self.open.remove(&step);
             if state != JobState::Completed {
-                self.stop_step(step, StopWhy::JobEnded, now);
+                self.stop_step(step, StopReason::JobEnded, now);
             }
         }
-        self.touch(id);
-        self.shed(id);
+        self.mark_changed(id);
+        self.drop_steps(id);
     }
 
     /// Drops the steps of an ended job once none of its tasks runs, so that its row contains only
     /// its state.
-    fn shed(&mut self, id: JobId) {
+    fn drop_steps(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.state.ended() && !job.runs() && !job.steps.is_empty() {
             job.steps.clear();
-            self.touch(id);
+            self.mark_changed(id);
         }
     }
 
     /// Updates a job's state and open steps from the state of its tasks.
-    pub(super) fn settle(&mut self, id: JobId, now: Now) {
+    pub(super) fn update_state(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.state.ended() {
             let failed = self.cat.queues.get(&job.row.queue).map_or(u32::MAX, |q| q.max_fails);
             let spec = &job.row.spec;
-            let hopeless = job.steps.iter().any(|s| {
+            let failed_too_often = job.steps.iter().any(|s| {
                 let step = &spec.steps[s.id.step as usize];
                 let worst = s.tasks.iter().map(|t| t.fails).max().unwrap_or(0);
                 !step.lasts && worst.max(s.gang_fails) >= failed
             });
             let mut ids = job.steps.iter().flat_map(|s| s.ids().zip(&s.tasks));
-            if hopeless {
+            if failed_too_often {
                 log::info!(job:% = id, limit = failed; "job failed: a task failed too often");
                 self.finish(id, JobState::Failed, now);
             } else if let Some((task, t)) = ids.find(|(_, t)| !t.done && t.losses.crash_loop()) {
@@ -172,13 +172,13 @@
                 self.open_steps_of(id, now);
             }
         }
-        self.shed(id);
+        self.drop_steps(id);
     }
 
     /// Removes ended jobs whose retention time is over, at most `max`, and returns them.
     pub fn expire(&mut self, now: Now, max: usize) -> Vec<JobId> {
         let keep = self.rules.keep_ms;
-        let due = self.old.iter().take_while(|(at, _)| at + keep <= now.wall);
+        let due = self.ended_jobs.iter().take_while(|(at, _)| at + keep <= now.wall);
         let ids: Vec<(u64, JobId)> = due.take(max).copied().collect();
         let mut out = Vec::new();
         for entry in ids {
@@ -187,7 +187,7 @@
                 .get(&entry.1)
                 .is_none_or(|j| !j.runs() && j.storing.is_none() && j.stored == j.rev);
             if idle {
-                self.old.remove(&entry);
+                self.ended_jobs.remove(&entry);
                 self.jobs.remove(&entry.1);
                 out.push(entry.1);
             }
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -31,78 +31,85 @@
 }
 
 /// How long a run is known to have run until its runner stopped answering, ms.
-fn known_time(task: &Task, silent: u64) -> Option<u64> {
+fn observed_run_ms(task: &Task, silent_since: u64) -> Option<u64> {
     let began = task.run.as_ref().map(|r| r.progress.began).filter(|at| *at > 0)?;
-    Some(silent.saturating_sub(began))
+    Some(silent_since.saturating_sub(began))
 }
 
 impl Engine {
     /// Marks all runs on a runner whose incarnation or lease is over as lost.
-    pub(super) fn write_off(&mut self, k: RunnerKey, why: Loss, now: Now) {
+    pub(super) fn mark_lost(&mut self, k: RunnerKey, why: Loss, now: Now) {
         let tasks: Vec<(TaskId, Attempt)> = self.runners.get(k).tasks.keys().copied().collect();
         let lost: Vec<TaskId> = tasks
             .iter()
             .filter(|(id, attempt)| self.run_mut(k, *id, *attempt).is_some())
             .map(|(id, _)| *id)
             .collect();
-        self.note_lost(k, &lost, why, now);
+        self.record_lost(k, &lost, why, now);
         for (id, attempt) in tasks {
             self.counts.written_off += 1;
             if self.run_mut(k, id, attempt).is_some() {
                 self.release(id, now);
                 self.gang_broken(id, now);
-                self.settle(id.step.job, now);
+                self.update_state(id.step.job, now);
             }
-            self.runners.get_mut(k).vacate(id, attempt);
+            self.runners.get_mut(k).deallocate(id, attempt);
         }
     }
 
     /// Counts the loss of runs against their tasks, unless their runner was draining.
-    pub(super) fn note_lost(&mut self, k: RunnerKey, lost: &[TaskId], why: Loss, now: Now) {
+    pub(super) fn record_lost(&mut self, k: RunnerKey, lost: &[TaskId], why: Loss, now: Now) {
         let runner = self.runners.get(k);
-        let silent = runner.silent.unwrap_or(now.mono);
+        let silent_since = runner.unanswered_since.unwrap_or(now.mono);
         let leaving = runner.entry.as_ref().is_some_and(|e| e.draining);
         // A runner that is still registered when its lease expires is unreachable and has not
         // crashed.
         let crashed = why != Loss::LeaseOver || !runner.listed;
-        lost.iter().for_each(|id| self.log_lost(k, *id, why, silent, now));
+        lost.iter().for_each(|id| self.log_lost(k, *id, why, silent_since, now));
         if !leaving {
-            self.count_lost(k, lost, silent, crashed, now);
+            self.count_lost(k, lost, silent_since, crashed, now);
         }
     }
 
-    /// Counts the loss of runs. The probability of a crash by chance counts only against the tasks
-    /// with the most losses before: the others only ran beside them.
-    fn count_lost(&mut self, k: RunnerKey, lost: &[TaskId], silent: u64, crashed: bool, now: Now) {
+    /// Counts the loss of runs. A low probability of a loss by chance counts only against the
+    /// tasks with the most earlier losses: the others only ran beside them.
+    fn count_lost(
+        &mut self,
+        k: RunnerKey,
+        lost: &[TaskId],
+        silent_since: u64,
+        crashed: bool,
+        now: Now,
+    ) {
         let before = |id: &TaskId| self.task(*id).map_or(0, |t| t.losses.count);
         let most = lost.iter().map(before).max().unwrap_or(0);
         let rate = self.loss_rate;
         for &id in lost {
             let Some(task) = self.task_mut(id).filter(|t| t.was_sent()) else { continue };
-            let ran = known_time(task, silent);
-            let telling = ran.filter(|_| crashed && task.losses.count == most);
-            let chance = telling.map_or(1.0, |ms| rate.chance(ms));
+            let ran = observed_run_ms(task, silent_since);
+            let conclusive = ran.filter(|_| crashed && task.losses.count == most);
+            let chance = conclusive.map_or(1.0, |ms| rate.chance(ms));
             task.losses.add(task.attempt, k, chance);
-            self.touch(id.step.job);
+            self.mark_changed(id.step.job);
             self.loss_rate.lost(ran.unwrap_or(0), now.mono);
         }
     }
 
-    fn log_lost(&self, k: RunnerKey, id: TaskId, why: Loss, silent: u64, now: Now) {
+    fn log_lost(&self, k: RunnerKey, id: TaskId, why: Loss, silent_since: u64, now: Now) {
         let runner = self.runners.get(k);
         let Some(task) = self.task(id) else { return };
         let Some(run) = &task.run else { return };
         metrics::counter!("control_runs_lost", "why" => why.name()).increment(1);
         log::info!(task:% = id, attempt = task.attempt.0, runner = runner.id, why = why.name(),
-            stage = run.stage.name(), ran_ms:? = known_time(task, silent),
-            silent_ms = now.mono - silent, beside = runner.tasks.len().saturating_sub(1),
+            stage = run.stage.name(), ran_ms:? = observed_run_ms(task, silent_since),
+            silent_ms = now.mono - silent_since, beside = runner.tasks.len().saturating_sub(1),
             lost_before = task.losses.count; "run lost with its runner");
     }
 
     /// Records that a run ended with a completion that its runner reported.
-    pub(super) fn note_ended(&mut self, id: TaskId, done: bool, now: Now) {
+    pub(super) fn record_ended(&mut self, id: TaskId, done: bool, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
-        let ran = known_time(task, now.mono);
+        let ran = observed_run_ms(task, now.mono);
         if !done {
             task.losses.ended(task.attempt);
         }
@@ -111,7 +118,7 @@
 
     /// Of these places, the runners on which a task runs that was last lost together with this one:
     /// if both were lost again, the cause could still not be attributed to one of them.
-    pub(super) fn with_companions(
+    pub(super) fn runners_with_companions(
         &self,
         id: TaskId,
         places: &[Place<RunnerKey>],
@@ -127,9 +134,9 @@
     }
 
     /// Clears the losses of a task whose run has lasted long enough: it does not crash its runner.
-    pub(super) fn note_stable(&mut self, id: TaskId, now: Now) {
+    pub(super) fn clear_if_stable(&mut self, id: TaskId, now: Now) {
         let Some(task) = self.task_mut(id).filter(|t| t.losses.suspect()) else { return };
-        if known_time(task, now.mono).is_none_or(|ran| ran < STABLE_MS) {
+        if observed_run_ms(task, now.mono).is_none_or(|ran| ran < STABLE_MS) {
             return;
         }
         task.losses = Losses::default();
--- a/src/control/engine/mod.rs
+++ b/src/control/engine/mod.rs
@@ -27,7 +27,7 @@
 
 pub use commit::{Batch, Outcome, Write};
 pub use jobs::{Job, StepRun, Task};
-pub use round::MOST_LOOKS;
+pub use round::MAX_CHECKS_PER_ROUND;
 pub use runners::{Health, Runner};
 pub use runs::{Run, Stage};
 
@@ -153,37 +153,37 @@
     /// Steps with tasks to place.
     open: BTreeSet<StepId>,
     /// The current planning pass over the open steps.
-    sweep: round::Sweep,
+    pass: round::PlanningPass,
     /// Open steps that were opened or received advice since the last round.
-    stirred: BTreeSet<StepId>,
+    updated: BTreeSet<StepId>,
     /// Sums over the runners that the current round has computed.
     round: round::Round,
     /// Tasks that were ordered to stop, until the stop is acknowledged.
     stopping: BTreeSet<TaskId>,
     /// Occurrences that are not yet due, by due time.
-    timed: BTreeSet<(u64, JobId, u32)>,
-    /// Jobs whose progress is to be stored, with the value of `touched` when they were added.
+    not_due: BTreeSet<(u64, JobId, u32)>,
+    /// Jobs whose progress is to be stored, with the value of `dirty_seq` when they were added.
     dirty: BTreeMap<JobId, u64>,
     /// Counts additions to `dirty`.
-    touched: u64,
+    dirty_seq: u64,
     /// Jobs of which only the state shown to callers has changed, by the time when it is to be
     /// stored, local ms.
-    lazy: BTreeSet<(u64, JobId)>,
+    deferred: BTreeSet<(u64, JobId)>,
     /// Ended jobs by the time of their end, Unix ms.
-    old: BTreeSet<(u64, JobId)>,
+    ended_jobs: BTreeSet<(u64, JobId)>,
     acts: Vec<Action>,
     /// Provisional reservations of gangs whose tickets are being requested.
-    bookings: BTreeMap<StepId, booking::Booking>,
+    provisional: BTreeMap<StepId, booking::ProvisionalReservation>,
     /// Gangs of which a member ended because another had.
-    torn: BTreeSet<StepId>,
+    broken_gangs: BTreeSet<StepId>,
     /// Pending advice requests.
-    questions: advice::Questions,
+    advice_requests: advice::AdviceRequests,
     /// Placements that are not stored yet.
     storing: storing::Storing,
     /// Share of the named runners that each queue's policy approves on average.
-    shares: BTreeMap<String, advice::Share>,
+    approval_rates: BTreeMap<String, advice::ApprovalRate>,
     /// Run-time model of each queue.
-    paces: BTreeMap<String, Pace>,
+    run_times: BTreeMap<String, Pace>,
     /// Rate at which runs are lost with their runners.
     loss_rate: LossRate,
     /// Racks by name; runners and steps use their numbers.
@@ -205,22 +205,22 @@
             by_id: BTreeMap::new(),
             jobs: BTreeMap::new(),
             open: BTreeSet::new(),
-            sweep: round::Sweep::default(),
-            stirred: BTreeSet::new(),
+            pass: round::PlanningPass::default(),
+            updated: BTreeSet::new(),
             round: round::Round::default(),
             stopping: BTreeSet::new(),
-            timed: BTreeSet::new(),
+            not_due: BTreeSet::new(),
             dirty: BTreeMap::new(),
-            touched: 0,
-            lazy: BTreeSet::new(),
-            old: BTreeSet::new(),
+            dirty_seq: 0,
+            deferred: BTreeSet::new(),
+            ended_jobs: BTreeSet::new(),
             acts: Vec::new(),
-            bookings: BTreeMap::new(),
-            torn: BTreeSet::new(),
-            questions: advice::Questions::default(),
+            provisional: BTreeMap::new(),
+            broken_gangs: BTreeSet::new(),
+            advice_requests: advice::AdviceRequests::default(),
             storing: storing::Storing::default(),
-            shares: BTreeMap::new(),
-            paces: BTreeMap::new(),
+            approval_rates: BTreeMap::new(),
+            run_times: BTreeMap::new(),
             loss_rate: LossRate::default(),
             racks: BTreeMap::new(),
         }
@@ -242,11 +242,11 @@
     /// expire, repeats stops and polls runners.
     pub fn tick(&mut self, now: Now) {
         self.open_due(now);
-        self.store_due(now);
-        self.lapse(now);
-        self.mend_torn(now);
+        self.queue_deferred(now);
+        self.expire_leases(now);
+        self.release_broken_gangs(now);
         self.repeat_stops(now);
-        self.look(now);
+        self.poll_runners(now);
     }
 
     /// Number of jobs known.
@@ -293,16 +293,16 @@
     }
 
     /// Counts a new revision of a job's progress, to be stored with one of the next commits.
-    fn touch(&mut self, id: JobId) {
+    fn mark_changed(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.rev += 1;
-            self.mark(id);
+            self.queue_commit(id);
         }
     }
 
     /// Queues a job's progress to be stored with one of the next commits.
-    fn mark(&mut self, id: JobId) {
-        self.touched += 1;
-        self.dirty.entry(id).or_insert(self.touched);
+    fn queue_commit(&mut self, id: JobId) {
+        self.dirty_seq += 1;
+        self.dirty.entry(id).or_insert(self.dirty_seq);
     }
 }
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -1,8 +1,8 @@
 //! Planning rounds: the placement of waiting tasks on runners.
 
 use super::advice::Kind;
-use super::reserve::{Backlog, Claims};
-use super::round::{Round, Sweep, MOST_AHEAD, MOST_LOOKS};
+use super::reserve::{Backlog, GangReservations};
+use super::round::{PlanningPass, Round, MAX_CHECKS_PER_ROUND, MAX_URGENT_CHECKS};
 use super::runs::{Run, Stage};
 use super::{Engine, Now, RunnerKey, StepRun};
 use crate::control::crashes::Losses;
@@ -14,25 +14,25 @@
 
 /// Processor capacity of a service kept free for urgent queues, in thousandths: two bursts of
 /// lookups as they occur on a calm day, some 4 % of the capacity.
-const URGENT_SHARE: u64 = 40;
+const URGENT_RESERVE_PERMILLE: u64 = 40;
 
 /// A waiting step with the data of it that a planning round needs.
-pub(super) struct View<'a> {
+pub(super) struct StepView<'a> {
     pub id: StepId,
     pub step: &'a Step,
     pub queue: &'a Queue,
     waiting: usize,
     /// Whether its queue is not an urgent one.
-    patient: bool,
+    non_urgent: bool,
 }
 
-impl View<'_> {
+impl StepView<'_> {
     /// Kind of the advice requests for this step.
     pub fn kind(&self) -> Kind {
-        match (self.patient, self.step.gang) {
+        match (self.non_urgent, self.step.gang) {
             (false, _) => Kind::Urgent,
             (true, true) => Kind::Gang,
-            (true, false) => Kind::Patient,
+            (true, false) => Kind::Other,
         }
     }
 }
@@ -43,53 +43,60 @@
     pub fn plan(&mut self, now: Now) {
         self.counts.rounds += 1;
         self.round = Round::default();
-        self.expire_bookings(now);
+        self.expire_provisional(now);
         let cat = self.cat.clone();
         let begin = self.counts.looks;
-        let mut sweep = std::mem::take(&mut self.sweep);
-        if sweep.over() {
-            self.stirred.clear();
-            sweep = self.sweep_anew(now);
+        let mut pass = std::mem::take(&mut self.pass);
+        if pass.finished() {
+            self.updated.clear();
+            pass = self.new_pass(now);
         }
-        let stirred = std::mem::take(&mut self.stirred);
-        for (rank, id) in self.urgent(stirred, now) {
-            if self.counts.looks < begin + MOST_AHEAD {
-                self.visit(&cat, id, rank, &mut sweep.claims, now);
+        let updated = std::mem::take(&mut self.updated);
+        for (rank, id) in self.urgent_steps(updated, now) {
+            if self.counts.looks < begin + MAX_URGENT_CHECKS {
+                self.plan_step(&cat, id, rank, &mut pass.reserved, now);
             } else {
-                self.stirred.insert(id);
+                self.updated.insert(id);
             }
         }
-        while self.counts.looks < begin + MOST_LOOKS {
-            let Some((rank, id)) = sweep.next() else { break };
-            self.visit(&cat, id, rank, &mut sweep.claims, now);
+        while self.counts.looks < begin + MAX_CHECKS_PER_ROUND {
+            let Some((rank, id)) = pass.next() else { break };
+            self.plan_step(&cat, id, rank, &mut pass.reserved, now);
         }
-        self.sweep = sweep;
+        self.pass = pass;
     }
 
-    fn sweep_anew(&mut self, now: Now) -> Sweep {
+    fn new_pass(&mut self, now: Now) -> PlanningPass {
         let order = self.ranked(self.open.iter().copied(), now);
         self.counts.looks += order.len() as u64;
-        let claims = Claims::new(self.backlog(&order));
-        Sweep::new(order, claims)
+        let reserved = GangReservations::new(self.backlog(&order));
+        PlanningPass::new(order, reserved)
     }
 
     /// The given steps with their ranks, in the order in which they are planned.
     fn ranked(&self, ids: impl Iterator<Item = StepId>, now: Now) -> Vec<(Rank, StepId)> {
-        let lead = self.lead();
-        let of = |id: StepId| Some((self.rank(id, lead, now)?, id));
-        let mut order: Vec<(Rank, StepId)> = ids.filter_map(of).collect();
+        let lead = self.gang_lead();
+        let with_rank = |id: StepId| Some((self.rank(id, lead, now)?, id));
+        let mut order: Vec<(Rank, StepId)> = ids.filter_map(with_rank).collect();
         order.sort_unstable();
         order
     }
 
-    /// The urgent ones of the given steps whose objective can still be met, in order of rank.
-    fn urgent(&self, ids: BTreeSet<StepId>, now: Now) -> Vec<(Rank, StepId)> {
+    /// Those of the given steps that are urgent and whose result still has a value, in order of rank.
+    fn urgent_steps(&self, ids: BTreeSet<StepId>, now: Now) -> Vec<(Rank, StepId)> {
         let mut order = self.ranked(ids.into_iter(), now);
         order.retain(|(rank, _)| !rank.patient && !rank.worthless);
         order
     }
 
-    fn visit(&mut self, cat: &Catalogue, id: StepId, rank: Rank, claims: &mut Claims, now: Now) {
+    fn plan_step(
+        &mut self,
+        cat: &Catalogue,
+        id: StepId,
+        rank: Rank,
+        reserved: &mut GangReservations,
+        now: Now,
+    ) {
         self.counts.looks += 1;
         let Some(job) = self.jobs.get(&id.job).filter(|_| self.open.contains(&id)) else { return };
         let (row, waits) = (job.row.clone(), job.step(id).is_some_and(|s| s.waits()));
@@ -102,38 +109,39 @@
         }
         let Some(queue) = cat.queues.get(&row.queue) else { return };
         let step = &row.spec.steps[id.step as usize];
-        let view = View { id, step, queue, waiting: self.waiting(id), patient: rank.patient };
+        let view =
+            StepView { id, step, queue, waiting: self.waiting(id), non_urgent: rank.patient };
         match step.gang {
-            true => self.place_gang(&view, rank, claims, now),
-            false => self.place_tasks(&view, claims, now),
+            true => self.place_gang(&view, rank, reserved, now),
+            false => self.place_tasks(&view, reserved, now),
         }
     }
 
     /// Whether a step needs a ticket and has no valid one.
-    fn unticketed(&self, v: &View<'_>, now: Now) -> bool {
+    fn needs_ticket(&self, v: &StepView<'_>, now: Now) -> bool {
         let margin = self.ticket_margin(v.id);
         let tickets = self.step(v.id).into_iter().flat_map(|s| s.approvals.tickets.values());
-        let mut ends = tickets.map(|(_, end)| *end);
-        v.queue.approval.is_some() && !ends.any(|end| end > now.mono + margin)
+        let mut expiries = tickets.map(|(_, end)| *end);
+        v.queue.approval.is_some() && !expiries.any(|end| end > now.mono + margin)
     }
 
     /// Whether an advice request for a step is pending.
-    fn asking(&self, id: StepId) -> bool {
-        self.step(id).is_some_and(|s| s.approvals.asking > 0)
+    fn advice_pending(&self, id: StepId) -> bool {
+        self.step(id).is_some_and(|s| s.approvals.pending > 0)
     }
 
     /// Whether no advice request for a step may be sent now: one is pending, or its retry delay has
     /// not passed.
-    fn may_not_ask(&self, id: StepId, now: Now) -> bool {
-        self.asking(id) || self.step(id).is_some_and(|s| s.approvals.retry_at > now.mono)
+    fn advice_blocked(&self, id: StepId, now: Now) -> bool {
+        self.advice_pending(id) || self.step(id).is_some_and(|s| s.approvals.retry_at > now.mono)
     }
 
     /// Time in which capacity for a gang is expected to become free, ms: the usual run time of
     /// steps of non-urgent queues.
-    fn lead(&self) -> u64 {
-        let patient = |name: &String| self.cat.queues.get(name).is_some_and(|q| q.priority > 0);
-        let paces = self.paces.iter().filter(|(name, _)| patient(name));
-        paces.map(|(_, p)| p.usual()).max().unwrap_or(0)
+    fn gang_lead(&self) -> u64 {
+        let non_urgent = |name: &String| self.cat.queues.get(name).is_some_and(|q| q.priority > 0);
+        let run_times = self.run_times.iter().filter(|(name, _)| non_urgent(name));
+        run_times.map(|(_, p)| p.usual()).max().unwrap_or(0)
     }
 
     fn rank(&self, id: StepId, lead: u64, now: Now) -> Option<Rank> {
@@ -143,7 +151,7 @@
             priority: queue.priority,
             begin: job.begin(id.occurrence),
             objective: job.objective(queue),
-            chain: job.tails[id.step as usize],
+            chain: job.path_ms[id.step as usize],
             lead: if job.spec(id).gang { lead } else { 0 },
         };
         Some(queue::rank(&claim, now.wall))
@@ -151,14 +159,14 @@
 
     /// Demand of the waiting steps, and the capacity of the cell.
     fn backlog(&self, order: &[(Rank, StepId)]) -> Backlog {
-        let asked = |&(_, id): &(Rank, StepId)| {
+        let demand = |&(_, id): &(Rank, StepId)| {
             let demand = self.jobs.get(&id.job).map_or(Resources::ZERO, |j| j.spec(id).demand());
             demand.cpu * self.waiting(id) as u64
         };
-        let asked: u64 = order.iter().map(asked).sum();
-        let listed = self.runners.iter().filter(|(_, r)| r.listed && !r.over);
-        let room: u64 = listed.map(|(_, r)| r.room().cpu).sum();
-        Backlog { asked, room }
+        let demand: u64 = order.iter().map(demand).sum();
+        let listed = self.runners.iter().filter(|(_, r)| r.listed && !r.replaced);
+        let capacity: u64 = listed.map(|(_, r)| r.room().cpu).sum();
+        Backlog { demand, capacity }
     }
 
     fn waiting(&self, id: StepId) -> usize {
@@ -166,7 +174,7 @@
     }
 
     /// Number of tasks of a step on each runner; empty if the step does not limit it.
-    pub(super) fn spread(&self, v: &View<'_>) -> BTreeMap<RunnerKey, u32> {
+    pub(super) fn tasks_per_runner(&self, v: &StepView<'_>) -> BTreeMap<RunnerKey, u32> {
         let mut out = BTreeMap::new();
         if v.step.per_runner == 0 {
             return out;
@@ -180,59 +188,64 @@
     /// Candidate runners of a step, with the capacity that it may use on each. For a queue with a
     /// policy these are the approved runners, not all: most of the waiting steps that a round plans
     /// are waiting for advice about a few.
-    pub(super) fn known(
+    pub(super) fn candidates(
         &mut self,
-        v: &View<'_>,
-        claims: &Claims,
+        v: &StepView<'_>,
+        reserved: &GangReservations,
         now: Now,
     ) -> Vec<Place<RunnerKey>> {
         let keys: Vec<RunnerKey> = match (v.queue.approval, self.step(v.id)) {
             (Some(_), Some(s)) => s.approvals.tickets.keys().copied().collect(),
-            _ if v.step.gang => return self.everywhere(v, claims, now),
-            _ => self.roomy(&v.queue.service, v.step.demand().cpu, now),
+            _ if v.step.gang => return self.all_candidates(v, reserved, now),
+            _ => self.runners_with_cpu(&v.queue.service, v.step.demand().cpu, now),
         };
-        self.places(v, &keys, claims, now)
+        self.places(v, &keys, reserved, now)
     }
 
     /// Every runner that could run tasks of the step, approved or not.
-    fn everywhere(&mut self, v: &View<'_>, claims: &Claims, now: Now) -> Vec<Place<RunnerKey>> {
+    fn all_candidates(
+        &mut self,
+        v: &StepView<'_>,
+        reserved: &GangReservations,
+        now: Now,
+    ) -> Vec<Place<RunnerKey>> {
         let keys: Vec<RunnerKey> = self.runners.iter().map(|(k, _)| k).collect();
-        self.places(v, &keys, claims, now)
+        self.places(v, &keys, reserved, now)
     }
 
     fn places(
         &mut self,
-        v: &View<'_>,
+        v: &StepView<'_>,
         keys: &[RunnerKey],
-        claims: &Claims,
+        reserved: &GangReservations,
         now: Now,
     ) -> Vec<Place<RunnerKey>> {
         self.counts.looks += keys.len() as u64;
-        let on = self.spread(v);
-        keys.iter().filter_map(|&k| self.place_on(v, k, &on, claims, now)).collect()
+        let on = self.tasks_per_runner(v);
+        keys.iter().filter_map(|&k| self.place_on(v, k, &on, reserved, now)).collect()
     }
 
     /// The capacity that a runner has for a step of which `on` tasks run on each runner; `None` if
     /// the runner may not run the step.
     pub(super) fn place_on(
         &self,
-        v: &View<'_>,
+        v: &StepView<'_>,
         k: RunnerKey,
         on: &BTreeMap<RunnerKey, u32>,
-        claims: &Claims,
+        reserved: &GangReservations,
         now: Now,
     ) -> Option<Place<RunnerKey>> {
         let r = self.runners.get(k);
         let e = r.entry.as_ref().filter(|_| r.usable(now))?;
-        let labelled = v.step.label.is_empty() || e.labels.contains(&v.step.label);
-        if e.service != v.queue.service || !labelled || !v.step.demand().fits(&e.room) {
+        let has_label = v.step.label.is_empty() || e.labels.contains(&v.step.label);
+        if e.service != v.queue.service || !has_label || !v.step.demand().fits(&e.room) {
             return None;
         }
         let limit = match v.step.per_runner {
             0 => u32::MAX,
             n => n.saturating_sub(on.get(&k).copied().unwrap_or(0)),
         };
-        let free = if v.patient { claims.left(k, r.free()) } else { r.free() };
+        let free = if v.non_urgent { reserved.available(k, r.free()) } else { r.free() };
         Some(Place {
             key: k,
             free,
@@ -246,29 +259,29 @@
 
     /// The candidates for which the step has a valid ticket; all of them if the queue needs no
     /// approval.
-    fn ticketed(
+    fn with_valid_ticket(
         &self,
-        v: &View<'_>,
-        known: &[Place<RunnerKey>],
+        v: &StepView<'_>,
+        candidates: &[Place<RunnerKey>],
         now: Now,
     ) -> Vec<Place<RunnerKey>> {
         let margin = self.ticket_margin(v.id);
         let tickets = self.step(v.id).map(|s| &s.approvals.tickets);
-        let good = |p: &&Place<RunnerKey>| {
+        let valid = |p: &&Place<RunnerKey>| {
             let ticket = tickets.and_then(|t| t.get(&p.key));
             ticket.is_some_and(|(_, end)| *end > now.mono + margin)
         };
         let all = v.queue.approval.is_none();
-        known.iter().filter(|p| all || good(p)).cloned().collect()
+        candidates.iter().filter(|p| all || valid(p)).cloned().collect()
     }
 
     /// Processor capacity of the service that non-urgent steps may use now.
-    fn patient_room(&mut self, v: &View<'_>, now: Now) -> u64 {
-        let (free, room) = self.service_room(&v.queue.service, now);
-        free.saturating_sub(room * URGENT_SHARE / 1000)
+    fn non_urgent_capacity(&mut self, v: &StepView<'_>, now: Now) -> u64 {
+        let (free, total) = self.service_capacity(&v.queue.service, now);
+        free.saturating_sub(total * URGENT_RESERVE_PERMILLE / 1000)
     }
 
-    fn demand(&self, v: &View<'_>) -> Ask {
+    fn placement_request(&self, v: &StepView<'_>) -> Ask {
         let rack = self.racks.get(&v.step.rack).copied();
         Ask {
             need: v.step.demand(),
@@ -280,75 +293,81 @@
         }
     }
 
-    fn place_tasks(&mut self, v: &View<'_>, claims: &Claims, now: Now) {
+    fn place_tasks(&mut self, v: &StepView<'_>, reserved: &GangReservations, now: Now) {
         // Nothing can be placed or requested, as for most steps when thousands are waiting.
-        if self.may_not_ask(v.id, now) && self.unticketed(v, now) {
+        if self.advice_blocked(v.id, now) && self.needs_ticket(v, now) {
             return;
         }
-        let known = self.known(v, claims, now);
-        let mut good = self.ticketed(v, &known, now);
-        let mut budget = if v.patient { self.patient_room(v, now) } else { u64::MAX };
-        let ask = self.demand(v);
+        let candidates = self.candidates(v, reserved, now);
+        let mut approved = self.with_valid_ticket(v, &candidates, now);
+        let mut budget = if v.non_urgent { self.non_urgent_capacity(v, now) } else { u64::MAX };
+        let ask = self.placement_request(v);
         let waiting: Vec<TaskId> = self.waiting_ids(v.id);
-        let mut left = waiting.len();
+        let mut missing = waiting.len();
         for id in waiting {
             if ask.need.cpu > budget {
                 return;
             }
-            let avoid = self.avoided([id], &good);
+            let avoid = self.runners_to_avoid([id], &approved);
             let Some(task) = self.task(id) else { continue };
             let ask = Ask { suspect: task.losses.suspect(), ..ask.clone() };
-            let chosen = place::one(&mut good, &ask, &avoid, task.fails > 0);
+            let chosen = place::one(&mut approved, &ask, &avoid, task.fails > 0);
             let Some(k) = chosen else { break };
             budget -= ask.need.cpu;
-            left -= 1;
-            self.commit_place(v, id, k, now);
+            missing -= 1;
+            self.decide_placement(v, id, k, now);
         }
-        if left > 0 {
-            self.ask_for(v, claims, left, now);
+        if missing > 0 {
+            self.request_advice(v, reserved, missing, now);
         }
     }
 
-    fn place_gang(&mut self, v: &View<'_>, rank: Rank, claims: &mut Claims, now: Now) {
+    fn place_gang(
+        &mut self,
+        v: &StepView<'_>,
+        rank: Rank,
+        reserved: &mut GangReservations,
+        now: Now,
+    ) {
         let count = self.step(v.id).map_or(0, |s| s.tasks.len());
         // A gang is restarted as a whole, once no run of its last attempt is left.
         if v.waiting < count || !self.may_retry(v.id, now) {
             return;
         }
-        if self.bookings.contains_key(&v.id) {
-            return self.place_booked(v, now);
+        if self.provisional.contains_key(&v.id) {
+            return self.place_reserved(v, now);
         }
         // Nothing can be placed, requested or reserved.
-        if self.asking(v.id) && self.unticketed(v, now) && !claims.open(rank) {
+        if self.advice_pending(v.id) && self.needs_ticket(v, now) && !reserved.allows(rank) {
             return;
         }
         let need = v.step.demand();
-        let mut ask = self.demand(v);
+        let mut ask = self.placement_request(v);
         ask.suspect = self.step(v.id).is_some_and(|s| s.tasks.iter().any(|t| t.losses.suspect()));
-        let known = self.known(v, claims, now);
+        let candidates = self.candidates(v, reserved, now);
         let ids: Vec<TaskId> = self.step(v.id).into_iter().flat_map(StepRun::ids).collect();
-        let avoid = self.avoided(ids, &known);
-        let mut good = self.ticketed(v, &known, now);
-        if let Some(keys) = place::all(&mut good, &ask, count, &avoid) {
-            self.commit_gang(v, &keys, now);
+        let avoid = self.runners_to_avoid(ids, &candidates);
+        let mut approved = self.with_valid_ticket(v, &candidates, now);
+        if let Some(keys) = place::all(&mut approved, &ask, count, &avoid) {
+            self.decide_gang(v, &keys, now);
             return;
         }
-        if !self.asking(v.id) {
-            if let Some(keys) = place::all(&mut known.clone(), &ask, count, &avoid) {
-                self.book(v.id, keys, need, now);
-                return self.place_booked(v, now);
+        if !self.advice_pending(v.id) {
+            if let Some(keys) = place::all(&mut candidates.clone(), &ask, count, &avoid) {
+                self.reserve_provisionally(v.id, keys, need, now);
+                return self.place_reserved(v, now);
             }
-            if self.make_room(v, rank, &known, claims, now) {
-                return self.place_booked(v, now);
+            if self.preempt_for(v, rank, &candidates, reserved, now) {
+                return self.place_reserved(v, now);
             }
         }
-        self.reserve(v.id, rank, &known, &need, claims);
-        self.ask_for(v, claims, count, now);
+        self.reserve(v.id, rank, &candidates, &need, reserved);
+        self.request_advice(v, reserved, count, now);
     }
 
     /// Runners that the given tasks use only if no other has capacity: those where one of the tasks
     /// failed or made no progress, or would run beside a task with which it was lost.
-    fn avoided(
+    fn runners_to_avoid(
         &self,
         ids: impl IntoIterator<Item = TaskId>,
         places: &[Place<RunnerKey>],
@@ -356,34 +375,36 @@
         let mut out = BTreeSet::new();
         for id in ids {
             out.extend(self.task(id).into_iter().flat_map(|t| &t.avoid));
-            out.append(&mut self.with_companions(id, places));
+            out.append(&mut self.runners_with_companions(id, places));
         }
         out
     }
 
     /// Places a gang that has a provisional reservation once it has valid tickets for the reserved
     /// runners, else requests them.
-    fn place_booked(&mut self, v: &View<'_>, now: Now) {
-        let Some(runners) = self.bookings.get(&v.id).map(super::booking::Booking::runners) else {
+    fn place_reserved(&mut self, v: &StepView<'_>, now: Now) {
+        let Some(runners) =
+            self.provisional.get(&v.id).map(super::booking::ProvisionalReservation::runners)
+        else {
             return;
         };
         let Some(a) = self.step(v.id).map(|s| &s.approvals) else { return };
         let margin = self.ticket_margin(v.id);
-        let good =
+        let valid =
             |k: &RunnerKey| a.tickets.get(k).is_some_and(|(_, end)| *end > now.mono + margin);
-        if v.queue.approval.is_none() || runners.iter().all(good) {
+        if v.queue.approval.is_none() || runners.iter().all(valid) {
             // Preempted tasks may still run there.
-            if !runners.iter().all(|k| self.runners.get(*k).clear()) {
+            if !runners.iter().all(|k| self.runners.get(*k).reservation_fits()) {
                 return;
             }
-            if let Some(b) = self.unbook(v.id) {
-                self.commit_gang(v, &b.keys, now);
+            if let Some(b) = self.release_provisional(v.id) {
+                self.decide_gang(v, &b.keys, now);
             }
             return;
         }
-        if a.asking == 0 && a.retry_at <= now.mono {
+        if a.pending == 0 && a.retry_at <= now.mono {
             let runners: Vec<RunnerKey> = runners.into_iter().collect();
-            self.ask_about(v, &runners, now);
+            self.request_advice_for(v, &runners, now);
         }
     }
 
@@ -393,7 +414,7 @@
     }
 
     /// Decides the placement of a task. Its start is ordered once the placement is stored.
-    fn commit_place(&mut self, v: &View<'_>, id: TaskId, k: RunnerKey, now: Now) {
+    fn decide_placement(&mut self, v: &StepView<'_>, id: TaskId, k: RunnerKey, now: Now) {
         let need = v.step.demand();
         let name = self.runners.get(k).id.clone();
         let free = self.runners.get(k).free();
@@ -407,17 +428,17 @@
         run.ticket = ticket;
         task.run = Some(run);
         let (attempt, losses) = (task.attempt, task.losses);
-        self.runners.get_mut(k).occupy(id, attempt, need, losses);
-        self.round.moves += 1;
+        self.runners.get_mut(k).allocate(id, attempt, need, losses);
+        self.round.changes += 1;
         log::info!(task:% = id, attempt = attempt.0, runner = name, free_cpu = free.cpu,
             free_mem = free.mem, cat = self.cat.version; "task placed");
-        self.touch(id.step.job);
-        self.note_unstored(id.step.job, rev, v.patient, now);
+        self.mark_changed(id.step.job);
+        self.record_unstored(id.step.job, rev, v.non_urgent, now);
     }
 
     /// Decides the placements of a gang. All members get the same attempt number and the same
     /// checkpoint.
-    fn commit_gang(&mut self, v: &View<'_>, keys: &[RunnerKey], now: Now) {
+    fn decide_gang(&mut self, v: &StepView<'_>, keys: &[RunnerKey], now: Now) {
         let Some(step) = self.step_mut(v.id) else { return };
         let last = step.tasks.iter().map(|t| t.attempt).max().unwrap_or_default();
         let saved = step.tasks.iter().map(|t| t.saved.clone()).max().unwrap_or_default();
@@ -427,7 +448,7 @@
         }
         let ids: Vec<TaskId> = step.ids().collect();
         for (id, k) in ids.into_iter().zip(keys) {
-            self.commit_place(v, id, *k, now);
+            self.decide_placement(v, id, *k, now);
         }
     }
 }
--- a/src/control/engine/progress.rs
+++ b/src/control/engine/progress.rs
@@ -11,18 +11,18 @@
 /// Minimum time without progress after which a run is stalled, ms. Progress is reported in whole
 /// percent (350 ms each for a 4 s task on a runner nine times too slow), and restoring a checkpoint
 /// takes 600 ms.
-const STALL_MS: u64 = 1_200;
+const MIN_STALL_MS: u64 = 1_200;
 
 /// A run that has made no progress yet is stalled only after this fraction of its estimated run
 /// time, one part in this many: many times the estimated time of 1 %.
-const STALL_SHARE: u64 = 8;
+const STALL_ESTIMATE_DIVISOR: u64 = 8;
 
 /// A run that has made progress is stalled only after this many times the average time of a percent
 /// so far: a runner may become slower during the run.
-const STALL_PACES: f64 = 12.0;
+const STALL_RATE_FACTOR: f64 = 12.0;
 
 /// Progress of a run that has done all its work, per cent.
-const THROUGH: f64 = 100.0;
+const COMPLETE_PERCENT: f64 = 100.0;
 
 /// Progress of a run as its runner reports it. Times are local, ms.
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,7 +42,7 @@
     }
 
     /// Records a report that shows the run at `percent`.
-    pub fn note(&mut self, percent: f64, now: u64) {
+    pub fn record(&mut self, percent: f64, now: u64) {
         if self.began == 0 {
             self.begin(now);
         }
@@ -53,28 +53,28 @@
     }
 
     /// Whether it has done all its work.
-    pub fn through(&self) -> bool {
-        self.percent >= THROUGH
+    pub fn work_done(&self) -> bool {
+        self.percent >= COMPLETE_PERCENT
     }
 
     /// Time without progress after which the run is stalled, ms.
-    fn patience(&self, estimate: u64) -> u64 {
+    fn stall_limit(&self, estimate: u64) -> u64 {
         let took = self.moved.saturating_sub(self.began) as f64;
-        let usual = match self.percent > 0.0 {
-            true => (took / self.percent * STALL_PACES) as u64,
-            false => estimate / STALL_SHARE,
+        let limit = match self.percent > 0.0 {
+            true => (took / self.percent * STALL_RATE_FACTOR) as u64,
+            false => estimate / STALL_ESTIMATE_DIVISOR,
         };
-        usual.max(STALL_MS)
+        limit.max(MIN_STALL_MS)
     }
 
-    /// Whether the run is stalled, given that it was able to work since `free`.
-    pub fn hangs(&self, free: u64, estimate: u64, now: u64) -> bool {
-        self.moved.max(free) + self.patience(estimate) <= now
+    /// Whether the run is stalled, given that it was able to work since `able_since`.
+    pub fn stalled(&self, able_since: u64, estimate: u64, now: u64) -> bool {
+        self.moved.max(able_since) + self.stall_limit(estimate) <= now
     }
 }
 
 /// Since when all members of a gang are running, local ms; `None` while one is not.
-pub fn whole_since(step: &StepRun) -> Option<u64> {
+pub fn all_running_since(step: &StepRun) -> Option<u64> {
     let began = |t: &super::Task| {
         let run = t.run.as_ref()?;
         matches!(run.stage, Stage::Running { .. }).then_some(run.progress.began)
@@ -84,6 +84,6 @@
 
 /// Whether a member of a gang is still at work, so that members that have done their work wait for
 /// it.
-pub fn waited_for(step: &StepRun) -> bool {
-    step.tasks.iter().filter_map(|t| t.run.as_ref()).any(|r| !r.progress.through())
+pub fn any_working(step: &StepRun) -> bool {
+    step.tasks.iter().filter_map(|t| t.run.as_ref()).any(|r| !r.progress.work_done())
 }
--- a/src/control/engine/reports.rs
+++ b/src/control/engine/reports.rs
@@ -1,7 +1,7 @@
 //! Handling of a runner's poll results: its active runs and its completions.
 
 use super::progress::{self, Progress};
-use super::runs::{Stage, StopWhy};
+use super::runs::{Stage, StopReason};
 use super::{Action, Engine, Now, RunnerKey};
 use crate::control::model::{Attempt, EndKind, TaskId};
 use crate::control::ports::{Active, End, Order, Refusal, Report};
@@ -9,47 +9,47 @@
 
 /// Delay after a poll that returned new completions, ms: time to store them, so that the next poll
 /// can acknowledge them.
-const STORE_ENDS_MS: u64 = 25;
+const STORE_DELAY_MS: u64 = 25;
 
 /// Delay after a poll that returned only completions already processed, ms. The store is slow or
 /// unavailable then, and the runner answers such polls at once.
-const STUCK_ENDS_MS: u64 = 200;
+const UNSTORED_DELAY_MS: u64 = 200;
 
 /// Delay after a failed poll, ms.
-const RETRY_LOOK_MS: u64 = 150;
+const POLL_RETRY_MS: u64 = 150;
 
 impl Engine {
     /// Handles the result of a poll.
     pub fn looked(&mut self, k: RunnerKey, res: Result<Report, Refusal>, now: Now) {
         let runner = self.runners.get_mut(k);
-        runner.holding = false;
-        let missed = std::mem::take(&mut runner.missed);
-        runner.dark = res.is_err();
+        runner.polling = false;
+        let unanswered = std::mem::take(&mut runner.unanswered);
+        runner.poll_failed = res.is_err();
         if res.is_err() {
-            runner.unheard(now);
+            runner.record_no_answer(now);
         }
         match res {
             Ok(report) => {
-                if missed {
+                if unanswered {
                     log::info!(runner = runner.id, tasks = runner.tasks.len();
                         "runner answers again");
                 }
-                runner.heard(report.clock, now);
-                let new = report.ends.last().map_or(0, |e| e.number) > runner.seen;
-                runner.hold_at = now.mono
+                runner.record_answer(report.clock, now);
+                let new = report.ends.last().map_or(0, |e| e.number) > runner.last_completion;
+                runner.next_poll = now.mono
                     + match (report.ends.is_empty(), new) {
                         (true, _) => 0,
-                        (false, true) => STORE_ENDS_MS,
-                        (false, false) => STUCK_ENDS_MS,
+                        (false, true) => STORE_DELAY_MS,
+                        (false, false) => UNSTORED_DELAY_MS,
                     };
-                self.take_report(k, report, now);
+                self.process_report(k, report, now);
             }
             Err(why) => {
-                runner.hold_at = now.mono + RETRY_LOOK_MS;
+                runner.next_poll = now.mono + POLL_RETRY_MS;
                 match why {
-                    Refusal::Fenced => self.fenced_off(k),
-                    Refusal::OtherLife => self.runner_over(k, now),
-                    _ if missed => {}
+                    Refusal::Fenced => self.record_fenced(k),
+                    Refusal::OtherLife => self.runner_replaced(k, now),
+                    _ if unanswered => {}
                     _ => log::warn!(runner = runner.id, why:% = why,
                         tasks = runner.tasks.len(); "runner does not answer"),
                 }
@@ -57,48 +57,48 @@
         }
     }
 
-    fn take_report(&mut self, k: RunnerKey, report: Report, now: Now) {
+    fn process_report(&mut self, k: RunnerKey, report: Report, now: Now) {
         let ended: BTreeSet<(TaskId, Attempt)> =
             report.ends.iter().map(|e| (e.task, e.attempt)).collect();
         for end in report.ends {
-            if end.number > self.runners.get(k).seen {
-                self.runners.get_mut(k).seen = end.number;
-                self.take_end(k, &end, now);
+            if end.number > self.runners.get(k).last_completion {
+                self.runners.get_mut(k).last_completion = end.number;
+                self.process_completion(k, &end, now);
                 let rev = self.jobs.get(&end.task.step.job).map_or(0, |j| j.rev);
-                let note = (end.number, end.task.step.job, rev);
-                self.runners.get_mut(k).unacked.push_back(note);
+                let entry = (end.number, end.task.step.job, rev);
+                self.runners.get_mut(k).unacked.push_back(entry);
             }
         }
         let active: BTreeMap<(TaskId, Attempt), Active> =
             report.active.into_iter().map(|a| ((a.task, a.attempt), a)).collect();
-        let held: Vec<(TaskId, Attempt)> = self.runners.get(k).tasks.keys().copied().collect();
-        for (id, attempt) in held {
+        let allocated: Vec<(TaskId, Attempt)> = self.runners.get(k).tasks.keys().copied().collect();
+        for (id, attempt) in allocated {
             match active.get(&(id, attempt)) {
-                Some(a) => self.is_active(k, id, a, now),
+                Some(a) => self.run_listed(k, id, a, now),
                 None if ended.contains(&(id, attempt)) => {}
-                None => self.is_absent(k, id, attempt, report.clock, now),
+                None => self.run_not_listed(k, id, attempt, report.clock, now),
             }
         }
         let runner = self.runners.get(k);
-        let strays: Vec<(TaskId, Attempt)> =
+        let orphans: Vec<(TaskId, Attempt)> =
             active.keys().filter(|t| !runner.tasks.contains_key(t)).copied().collect();
-        for (task, attempt) in strays {
-            self.stop_stray(k, task, attempt);
+        for (task, attempt) in orphans {
+            self.stop_orphan(k, task, attempt);
         }
     }
 
     /// Stops an orphaned run: a start that took effect late.
-    fn stop_stray(&mut self, k: RunnerKey, task: TaskId, attempt: Attempt) {
+    fn stop_orphan(&mut self, k: RunnerKey, task: TaskId, attempt: Attempt) {
         let Some(to) = self.runners.get(k).call() else { return };
         log::warn!(task:% = task, attempt = attempt.0, runner = to.id; "stray run stopped");
         let order = Order { task, attempt, fence: self.fence };
         self.acts.push(Action::Stop { runner: k, to, order });
     }
 
-    fn is_active(&mut self, k: RunnerKey, id: TaskId, a: &Active, now: Now) {
-        self.begin(id.step.job, id.step.occurrence, now);
+    fn run_listed(&mut self, k: RunnerKey, id: TaskId, a: &Active, now: Now) {
+        self.mark_running(id.step.job, id.step.occurrence, now);
         let Some(job) = self.jobs.get(&id.step.job) else { return };
-        let over = job.state.ended();
+        let job_ended = job.state.ended();
         let spec = job.spec(id.step);
         let (lasts, gang, estimate) = (spec.lasts || spec.fills, spec.gang, spec.estimate);
         let clock = self.runners.get(k).clock.map_or(0, |(c, _)| c);
@@ -107,33 +107,33 @@
             task.saved.clone_from(&a.saved);
         }
         let Some(run) = task.run.as_mut().filter(|r| r.runner == k) else { return };
-        run.progress.note(a.percent, now.mono);
+        run.progress.record(a.percent, now.mono);
         let progress = run.progress;
         match run.stage {
             Stage::Sent | Stage::Inherited => run.stage = Stage::Running { clock },
-            Stage::Running { .. } if !lasts && !over => {
-                let free = if gang { self.member_free(id, &progress) } else { Some(0) };
-                if free.is_some_and(|free| progress.hangs(free, estimate, now.mono)) {
-                    self.move_away(k, id, gang, now);
+            Stage::Running { .. } if !lasts && !job_ended => {
+                let able = if gang { self.able_since(id, &progress) } else { Some(0) };
+                if able.is_some_and(|able| progress.stalled(able, estimate, now.mono)) {
+                    self.stop_stalled(k, id, gang, now);
                 }
             }
             _ => {}
         }
-        self.note_stable(id, now);
-        if over {
-            self.order_stop(id, StopWhy::JobEnded, now);
+        self.clear_if_stable(id, now);
+        if job_ended {
+            self.order_stop(id, StopReason::JobEnded, now);
         }
     }
 
     /// Since when a member of a gang was able to work, local ms; `None` if it waits for others.
-    fn member_free(&self, id: TaskId, of: &Progress) -> Option<u64> {
+    fn able_since(&self, id: TaskId, of: &Progress) -> Option<u64> {
         let step = self.step(id.step)?;
-        let waits = of.through() && progress::waited_for(step);
-        progress::whole_since(step).filter(|_| !waits)
+        let waits = of.work_done() && progress::any_working(step);
+        progress::all_running_since(step).filter(|_| !waits)
     }
 
     /// Stops a run that makes no progress; its task prefers other runners from then on.
-    fn move_away(&mut self, k: RunnerKey, id: TaskId, gang: bool, now: Now) {
+    fn stop_stalled(&mut self, k: RunnerKey, id: TaskId, gang: bool, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
         task.avoid.insert(k);
         if let Some(p) = task.run.as_ref().map(|r| r.progress) {
@@ -143,49 +143,49 @@
         if !gang {
             self.runners.get_mut(k).health.strike(now.mono);
         }
-        self.order_stop(id, StopWhy::Hangs, now);
+        self.order_stop(id, StopReason::NoProgress, now);
     }
 
     /// Handles a run that the runner does not list, while its capacity is still allocated.
-    fn is_absent(&mut self, k: RunnerKey, id: TaskId, attempt: Attempt, clock: u64, now: Now) {
+    fn run_not_listed(&mut self, k: RunnerKey, id: TaskId, attempt: Attempt, clock: u64, now: Now) {
         let Some(run) = self.run_mut(k, id, attempt) else {
-            self.runners.get_mut(k).vacate(id, attempt);
+            self.runners.get_mut(k).deallocate(id, attempt);
             return;
         };
         // The poll raised the fencing token, so that a predecessor's start that has not arrived yet
         // never takes effect. A start that arrives after the stop of its attempt is refused.
-        let over = match run.stage {
+        let lost = match run.stage {
             Stage::Inherited => true,
             Stage::Running { clock: ran } => clock > ran,
             Stage::Stopping { answered: Some(at) } => clock > at,
             Stage::Storing { .. } | Stage::Sent | Stage::Stopping { answered: None } => false,
         };
-        if over {
+        if lost {
             log::info!(task:% = id, attempt = attempt.0, runner = self.runners.get(k).id;
                 "run not listed: written off");
             self.counts.written_off += 1;
             self.release(id, now);
             self.gang_broken(id, now);
-            self.settle(id.step.job, now);
+            self.update_state(id.step.job, now);
         }
     }
 
-    fn take_end(&mut self, k: RunnerKey, end: &End, now: Now) {
+    fn process_completion(&mut self, k: RunnerKey, end: &End, now: Now) {
         self.counts.ends += 1;
         let id = end.task;
         let name = self.runners.get(k).id.clone();
         if self.run_mut(k, id, end.attempt).is_none() {
             log::info!(task:% = id, attempt = end.attempt.0, runner = name, how = end.kind.name();
-                "end of a run already written off");
-            self.runners.get_mut(k).vacate(id, end.attempt);
-            self.seen_late(id, end.attempt, end.kind == EndKind::Failed, now);
+                "completion of a run already marked as lost");
+            self.runners.get_mut(k).deallocate(id, end.attempt);
+            self.late_completion(id, end.attempt, end.kind == EndKind::Failed, now);
             return;
         }
         log::info!(task:% = id, attempt = end.attempt.0, runner = name, how = end.kind.name(),
             number = end.number; "task ended");
         metrics::counter!("control_ends", "how" => end.kind.name()).increment(1);
-        self.begin(id.step.job, id.step.occurrence, now);
-        self.note_ended(id, end.kind == EndKind::Done, now);
+        self.mark_running(id.step.job, id.step.occurrence, now);
+        self.record_ended(id, end.kind == EndKind::Done, now);
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let (gang, lasts) = (job.spec(id.step).gang, job.spec(id.step).lasts);
         if let Some(task) = self.task_mut(id) {
@@ -197,9 +197,9 @@
             EndKind::Done => {
                 self.runners.get_mut(k).health.done();
                 if !lasts {
-                    self.note_time(id, gang, now);
+                    self.record_run_time(id, gang, now);
                     if self.mark_done(id, gang) {
-                        self.learn(id.step);
+                        self.update_run_times(id.step);
                     }
                 }
             }
@@ -208,12 +208,12 @@
         }
         self.release(id, now);
         if gang && end.kind == EndKind::Broken {
-            self.note_broken(id.step, end.attempt);
+            self.record_broken(id.step, end.attempt);
         }
         if gang && !lasts && end.kind == EndKind::Stopped {
             self.gang_broken(id, now);
         }
-        self.settle(id.step.job, now);
+        self.update_state(id.step.job, now);
     }
 
     /// Marks a task as done; for a gang, one member's completion completes all of them. Returns
--- a/src/control/engine/reserve.rs
+++ b/src/control/engine/reserve.rs
@@ -14,105 +14,105 @@
 
 /// Maximum number of gangs with reservations, for gangs that are not late and while the cell keeps
 /// up.
-const GANGS_AHEAD: usize = 12;
+const MAX_RESERVING_GANGS: usize = 12;
 
 /// Maximum number of gangs with reservations in a cell that does not keep up, or for gangs that are
 /// late. Reserved capacity is unused capacity, which lookups lack then.
-const GANGS_AHEAD_FULL: usize = 2;
+const MAX_RESERVING_GANGS_OVERLOADED: usize = 2;
 
 /// A cell does not keep up while the waiting demand exceeds this share of its processors, per cent.
-const FULL_BACKLOG: u64 = 40;
+const OVERLOAD_PERCENT: u64 = 40;
 
 /// Share of the allocated capacity of a runner that a waiting gang expects to become free, per
 /// cent: its tasks end one by one, and a gang that expected all of it would wait for the last.
-const ROOM_TO_COME: u64 = 25;
+const EXPECTED_FREE_PERCENT: u64 = 25;
 
 /// Processor demand of the waiting steps and capacity of the cell, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backlog {
     /// Demand of the waiting steps.
-    pub asked: u64,
+    pub demand: u64,
     /// Capacity of all runners.
-    pub room: u64,
+    pub capacity: u64,
 }
 
 impl Backlog {
     /// Whether the demand exceeds `share` per cent of the capacity.
-    pub fn over(self, share: u64) -> bool {
-        self.asked * 100 > self.room * share
+    pub fn exceeds(self, share: u64) -> bool {
+        self.demand * 100 > self.capacity * share
     }
 }
 
 /// Runners reserved so far in a planning pass, and for how many gangs.
 #[derive(Default)]
-pub(super) struct Claims {
-    taken: BTreeSet<RunnerKey>,
+pub(super) struct GangReservations {
+    runners: BTreeSet<RunnerKey>,
     gangs: usize,
     backlog: Backlog,
 }
 
-impl Claims {
+impl GangReservations {
     /// No reservations yet, with `backlog` waiting.
     pub fn new(backlog: Backlog) -> Self {
         Self { backlog, ..Self::default() }
     }
 
     /// The part of a runner's free capacity that non-urgent steps may use.
-    pub fn left(&self, k: RunnerKey, free: Resources) -> Resources {
-        match self.has(k) {
+    pub fn available(&self, k: RunnerKey, free: Resources) -> Resources {
+        match self.contains(k) {
             true => Resources::ZERO,
             false => free,
         }
     }
 
     /// Whether a runner is reserved.
-    pub fn has(&self, k: RunnerKey) -> bool {
-        self.taken.contains(&k)
+    pub fn contains(&self, k: RunnerKey) -> bool {
+        self.runners.contains(&k)
     }
 
     /// The backlog without a gang whose own demand is `cpu`.
-    pub fn beside(&self, cpu: u64) -> Backlog {
-        Backlog { asked: self.backlog.asked.saturating_sub(cpu), ..self.backlog }
+    pub fn without(&self, cpu: u64) -> Backlog {
+        Backlog { demand: self.backlog.demand.saturating_sub(cpu), ..self.backlog }
     }
 
     /// Whether a gang of this rank may begin to reserve runners.
-    pub fn open(&self, rank: Rank) -> bool {
-        let most = if rank.late || self.backlog.over(FULL_BACKLOG) {
-            GANGS_AHEAD_FULL
+    pub fn allows(&self, rank: Rank) -> bool {
+        let most = if rank.late || self.backlog.exceeds(OVERLOAD_PERCENT) {
+            MAX_RESERVING_GANGS_OVERLOADED
         } else {
-            GANGS_AHEAD
+            MAX_RESERVING_GANGS
         };
         rank.patient && self.gangs < most
     }
 }
 
 impl Engine {
-    /// Reserves runners for a waiting gang, of those `known` to be approved, largest free capacity
+    /// Reserves runners for a waiting gang, of its `candidates`, largest free capacity
     /// first, until the capacity that is free and that is expected to become free is enough.
     pub(super) fn reserve(
         &self,
         id: StepId,
         rank: Rank,
-        known: &[Place<RunnerKey>],
+        candidates: &[Place<RunnerKey>],
         need: &Resources,
-        claims: &mut Claims,
+        reserved: &mut GangReservations,
     ) {
-        if !claims.open(rank) {
+        if !reserved.allows(rank) {
             return;
         }
-        claims.gangs += 1;
-        let mut by_room: Vec<&Place<RunnerKey>> = known.iter().collect();
-        by_room.sort_by_key(|p| std::cmp::Reverse((p.free.cpu, p.key)));
+        reserved.gangs += 1;
+        let mut by_free: Vec<&Place<RunnerKey>> = candidates.iter().collect();
+        by_free.sort_by_key(|p| std::cmp::Reverse((p.free.cpu, p.key)));
         let mut missing = self.step(id).map_or(0, |s| s.tasks.len()) as u64;
-        for p in by_room {
+        for p in by_free {
             if missing == 0 {
                 return;
             }
-            let whole = Place { free: self.runners.get(p.key).room(), ..p.clone() };
+            let emptied = Place { free: self.runners.get(p.key).room(), ..p.clone() };
             let now = place::capacity(std::slice::from_ref(p), need);
-            let later = place::capacity(&[whole], need).saturating_sub(now);
-            missing = missing.saturating_sub((now + later * ROOM_TO_COME / 100).max(1));
-            claims.taken.insert(p.key);
+            let later = place::capacity(&[emptied], need).saturating_sub(now);
+            missing = missing.saturating_sub((now + later * EXPECTED_FREE_PERCENT / 100).max(1));
+            reserved.runners.insert(p.key);
         }
     }
 }
--- a/src/control/engine/round.rs
+++ b/src/control/engine/round.rs
@@ -8,7 +8,7 @@
 //! needed, and urgent steps that were opened or received advice meanwhile are planned before the
 //! rest of it. No step starves, since each pass covers all.
 
-use super::reserve::Claims;
+use super::reserve::GangReservations;
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::StepId;
 use crate::control::queue::Rank;
@@ -17,99 +17,100 @@
 
 /// Maximum number of runners and steps checked in a round, after which the planning pass continues
 /// in the next one: takes a small part of the interval between rounds.
-pub const MOST_LOOKS: u64 = 16_000;
+pub const MAX_CHECKS_PER_ROUND: u64 = 16_000;
 
-/// Part of [`MOST_LOOKS`] that urgent steps planned before the rest of a pass may use, so that
-/// every pass ends.
-pub(super) const MOST_AHEAD: u64 = MOST_LOOKS / 2;
+/// Part of [`MAX_CHECKS_PER_ROUND`] that urgent steps planned before the rest of a pass may use, so
+/// that every pass ends.
+pub(super) const MAX_URGENT_CHECKS: u64 = MAX_CHECKS_PER_ROUND / 2;
 
 /// Waiting steps in order of rank, and the runners reserved by those planned so far.
 #[derive(Default)]
-pub(super) struct Sweep {
-    left: vec::IntoIter<(Rank, StepId)>,
-    pub claims: Claims,
+pub(super) struct PlanningPass {
+    remaining: vec::IntoIter<(Rank, StepId)>,
+    pub reserved: GangReservations,
 }
 
-impl Sweep {
+impl PlanningPass {
     /// A pass over steps in the given order.
-    pub fn new(order: Vec<(Rank, StepId)>, claims: Claims) -> Self {
-        Self { left: order.into_iter(), claims }
+    pub fn new(order: Vec<(Rank, StepId)>, reserved: GangReservations) -> Self {
+        Self { remaining: order.into_iter(), reserved }
     }
 
     /// Whether every step has been planned.
-    pub fn over(&self) -> bool {
-        self.left.len() == 0
+    pub fn finished(&self) -> bool {
+        self.remaining.len() == 0
     }
 }
 
-impl Iterator for Sweep {
+impl Iterator for PlanningPass {
     type Item = (Rank, StepId);
 
     fn next(&mut self) -> Option<Self::Item> {
-        self.left.next()
+        self.remaining.next()
     }
 }
 
 /// Capacity of a service's runners that take new tasks.
 #[derive(Clone, Debug, Default)]
-struct Room {
+struct ServiceCapacity {
     /// Runners by their free processor capacity when the round began, largest first. Placements
     /// only reduce it during the round.
     by_cpu: Vec<(u64, RunnerKey)>,
     /// Free processor capacity of all runners.
     free: u64,
     /// Processor capacity of all runners.
-    all: u64,
-    /// Value of `Round::moves` when the sums were computed.
-    moves: u64,
+    total: u64,
+    /// Value of `Round::changes` when the sums were computed.
+    changes: u64,
 }
 
 /// Sums over the runners of each service, computed once a round for all waiting steps.
 #[derive(Debug, Default)]
 pub(super) struct Round {
-    rooms: BTreeMap<String, Room>,
+    capacities: BTreeMap<String, ServiceCapacity>,
     /// Number of placements and changes of provisional reservations in this round.
-    pub moves: u64,
+    pub changes: u64,
 }
 
 impl Engine {
     /// Sums for a service; computed again after a placement.
-    fn room_now(&mut self, service: &str, now: Now) -> &Room {
-        let moves = self.round.moves;
-        if self.round.rooms.get(service).is_none_or(|r| r.moves != moves) {
-            let room = self.sum_room(service, now);
-            self.round.rooms.insert(service.to_string(), room);
+    fn current_capacity(&mut self, service: &str, now: Now) -> &ServiceCapacity {
+        let changes = self.round.changes;
+        if self.round.capacities.get(service).is_none_or(|r| r.changes != changes) {
+            let capacity = self.sum_capacity(service, now);
+            self.round.capacities.insert(service.to_string(), capacity);
         }
-        &self.round.rooms[service]
+        &self.round.capacities[service]
     }
 
-    fn sum_room(&mut self, service: &str, now: Now) -> Room {
+    fn sum_capacity(&mut self, service: &str, now: Now) -> ServiceCapacity {
         self.counts.looks += self.runners.len() as u64;
-        let mut room = Room { moves: self.round.moves, ..Room::default() };
+        let mut capacity =
+            ServiceCapacity { changes: self.round.changes, ..ServiceCapacity::default() };
         for (k, r) in self.runners.iter() {
             let serves = r.entry.as_ref().is_some_and(|e| e.service == service);
             if serves && r.usable(now) {
-                room.free += r.free().cpu;
-                room.all += r.room().cpu;
-                room.by_cpu.push((r.free().cpu, k));
+                capacity.free += r.free().cpu;
+                capacity.total += r.room().cpu;
+                capacity.by_cpu.push((r.free().cpu, k));
             }
         }
-        room.by_cpu.sort_unstable_by(|a, b| b.cmp(a));
-        room
+        capacity.by_cpu.sort_unstable_by(|a, b| b.cmp(a));
+        capacity
     }
 
     /// Free and total processor capacity of a service's runners.
-    pub(super) fn service_room(&mut self, service: &str, now: Now) -> (u64, u64) {
-        let room = self.room_now(service, now);
-        (room.free, room.all)
+    pub(super) fn service_capacity(&mut self, service: &str, now: Now) -> (u64, u64) {
+        let capacity = self.current_capacity(service, now);
+        (capacity.free, capacity.total)
     }
 
     /// Runners of a service that may have `cpu` free, largest free capacity first.
-    pub(super) fn roomy(&mut self, service: &str, cpu: u64, now: Now) -> Vec<RunnerKey> {
-        if !self.round.rooms.contains_key(service) {
-            self.room_now(service, now);
+    pub(super) fn runners_with_cpu(&mut self, service: &str, cpu: u64, now: Now) -> Vec<RunnerKey> {
+        if !self.round.capacities.contains_key(service) {
+            self.current_capacity(service, now);
         }
-        let all = self.round.rooms.get(service).into_iter().flat_map(|r| &r.by_cpu);
+        let all = self.round.capacities.get(service).into_iter().flat_map(|r| &r.by_cpu);
         let keys: Vec<RunnerKey> = all.take_while(|(c, _)| *c >= cpu).map(|(_, k)| *k).collect();
         self.counts.looks += keys.len() as u64;
         keys
--- a/src/control/engine/runners.rs
+++ b/src/control/engine/runners.rs
@@ -11,31 +11,31 @@
 
 /// Time that a poll waits at the runner for a completion, ms. It bounds how long a broken
 /// connection goes undetected, and costs little more than one call a second where nothing happens.
-const LOOK_WAIT_MS: u64 = 800;
+const POLL_WAIT_MS: u64 = 800;
 
 /// Time that a poll waits at a runner where nothing runs, ms: the platform's maximum. Polls of idle
 /// runners are most of the scheduler's work on a cell of thousands of runners with little to do.
-const IDLE_WAIT_MS: u64 = 2_000;
+const IDLE_POLL_WAIT_MS: u64 = 2_000;
 
 /// A runner without contact for this long beyond the wait of its poll gets no new tasks, ms.
-const REACH_MS: u64 = 900;
+const CONTACT_TIMEOUT_MS: u64 = 900;
 
 /// Slowest rate of a runner's clock, per mille of the local clock's: the platform's bound is 2 %.
-const SLOW_CLOCK: u64 = 980;
+const SLOWEST_CLOCK_PERMILLE: u64 = 980;
 
 /// Margin added to the computed end of a lease, ms: several times the error of the estimated clock
 /// between two polls (2 % of about a second) and the time that an answer travels.
-const LAPSE_MARGIN_MS: u64 = 200;
+const LEASE_MARGIN_MS: u64 = 200;
 
 /// Time that a runner is avoided after its first strike, ms; doubles with each further strike.
-const SHUN_MS: u64 = 500;
+const AVOID_MS: u64 = 500;
 
-/// Maximum number of doublings of [`SHUN_MS`].
-const SHUN_DOUBLINGS: u32 = 4;
+/// Maximum number of doublings of [`AVOID_MS`].
+const AVOID_DOUBLINGS: u32 = 4;
 
 /// Number of different jobs that must fail on a runner before failures count as strikes: a single
 /// job may have failed by a fault of its own.
-const BLAME_JOBS: usize = 2;
+const MIN_FAILED_JOBS: usize = 2;
 
 /// Strikes of a runner, and until when it is avoided.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -43,7 +43,7 @@
     /// Refused starts, stalled tasks and failures since the last task that completed.
     pub strikes: u32,
     /// Gets no new tasks before this time, local ms.
-    pub shunned: u64,
+    pub avoid_until: u64,
     /// Whether a task has completed here since the last strike.
     pub proven: bool,
     failed: BTreeSet<JobId>,
@@ -54,7 +54,7 @@
     pub fn strike(&mut self, now: u64) {
         self.strikes += 1;
         self.proven = false;
-        self.shunned = now + (SHUN_MS << self.strikes.min(SHUN_DOUBLINGS));
+        self.avoid_until = now + (AVOID_MS << self.strikes.min(AVOID_DOUBLINGS));
     }
 
     /// Records a completed task: resets the strikes.
@@ -65,7 +65,7 @@
     /// Records a failed task of `job`, for which the job or the runner may be the cause.
     pub fn failed(&mut self, job: JobId, now: u64) {
         self.failed.insert(job);
-        if self.failed.len() >= BLAME_JOBS {
+        if self.failed.len() >= MIN_FAILED_JOBS {
             self.strike(now);
         }
     }
@@ -81,7 +81,7 @@
     /// Whether the registry lists it.
     pub listed: bool,
     /// Whether this incarnation is over: another one answers at its address.
-    pub over: bool,
+    pub replaced: bool,
     /// Strikes, and until when it is avoided.
     pub health: Health,
     /// Number of its rack.
@@ -89,9 +89,9 @@
     /// Capacity allocated to tasks that run or may run there.
     pub used: Resources,
     /// Capacity provisionally reserved for gangs while their tickets are requested.
-    pub booked: Resources,
+    pub provisional: Resources,
     /// Capacity that steps whose pending advice requests name this runner will probably use.
-    pub wanted: Resources,
+    pub anticipated: Resources,
     /// Tasks that run or may run there, and the capacity allocated to each.
     pub tasks: BTreeMap<(TaskId, Attempt), Resources>,
     /// Those of its tasks that have lost runs with their runners.
@@ -99,28 +99,28 @@
     /// Its clock and the local time when it was read, ms.
     pub clock: Option<(u64, u64)>,
     /// Time of the last contact, local ms.
-    pub heard_at: u64,
+    pub last_contact: u64,
     /// How long the pending poll waits at the runner, ms.
     wait_ms: u64,
     /// Time of the next poll, local ms.
-    pub hold_at: u64,
+    pub next_poll: u64,
     /// Whether a poll is pending.
-    pub holding: bool,
+    pub polling: bool,
     /// Whether the last poll, or a start since, had no answer.
-    pub missed: bool,
+    pub unanswered: bool,
     /// Whether the last poll had no answer.
-    pub dark: bool,
+    pub poll_failed: bool,
     /// When calls began to go unanswered, local ms; `None` while they are answered.
-    pub silent: Option<u64>,
+    pub unanswered_since: Option<u64>,
     /// Highest number of a processed completion.
-    pub seen: u64,
+    pub last_completion: u64,
     /// Processed completions that are not acknowledged: number, job, and the job's revision that
     /// must be stored before.
     pub unacked: VecDeque<(u64, JobId, u64)>,
     /// Completions up to this number may be acknowledged.
     pub acked: u64,
     /// Latest end of a lease that was sent, ms of its clock.
-    until: u64,
+    lease_until: u64,
 }
 
 impl Runner {
@@ -129,26 +129,26 @@
             id: id.to_string(),
             entry: None,
             listed: false,
-            over: false,
+            replaced: false,
             health: Health::default(),
             rack: 0,
             used: Resources::ZERO,
-            booked: Resources::ZERO,
-            wanted: Resources::ZERO,
+            provisional: Resources::ZERO,
+            anticipated: Resources::ZERO,
             tasks: BTreeMap::new(),
             suspects: BTreeMap::new(),
             clock: None,
-            heard_at: 0,
-            wait_ms: LOOK_WAIT_MS,
-            hold_at: 0,
-            holding: false,
-            missed: false,
-            dark: false,
-            silent: None,
-            seen: 0,
+            last_contact: 0,
+            wait_ms: POLL_WAIT_MS,
+            next_poll: 0,
+            polling: false,
+            unanswered: false,
+            poll_failed: false,
+            unanswered_since: None,
+            last_completion: 0,
             unacked: VecDeque::new(),
             acked: 0,
-            until: 0,
+            lease_until: 0,
         }
     }
 
@@ -164,17 +164,17 @@
 
     /// Capacity that is neither allocated nor provisionally reserved.
     pub fn free(&self) -> Resources {
-        self.room().sub(&self.used).sub(&self.booked)
+        self.room().sub(&self.used).sub(&self.provisional)
     }
 
     /// Whether the allocated tasks leave the provisionally reserved capacity free.
-    pub fn clear(&self) -> bool {
-        self.used.add(&self.booked).fits(&self.room())
+    pub fn reservation_fits(&self) -> bool {
+        self.used.add(&self.provisional).fits(&self.room())
     }
 
     /// Whether the last contact is recent.
-    pub fn reached(&self, now: Now) -> bool {
-        self.clock.is_some() && self.heard_at + self.wait_ms + REACH_MS > now.mono
+    pub fn reachable(&self, now: Now) -> bool {
+        self.clock.is_some() && self.last_contact + self.wait_ms + CONTACT_TIMEOUT_MS > now.mono
     }
 
     /// Whether new tasks may be placed there. An unanswered start excludes the runner until the
@@ -182,12 +182,12 @@
     /// it, and tasks placed meanwhile would be blocked until the lease expires.
     pub fn usable(&self, now: Now) -> bool {
         let ready = self.entry.as_ref().is_some_and(|e| !e.draining);
-        let answers = !self.missed && self.reached(now);
-        ready && self.listed && !self.over && answers && self.health.shunned <= now.mono
+        let answers = !self.unanswered && self.reachable(now);
+        ready && self.listed && !self.replaced && answers && self.health.avoid_until <= now.mono
     }
 
     /// Allocates capacity for a task whose history of lost runs is `losses`.
-    pub fn occupy(&mut self, id: TaskId, attempt: Attempt, need: Resources, losses: Losses) {
+    pub fn allocate(&mut self, id: TaskId, attempt: Attempt, need: Resources, losses: Losses) {
         if losses.suspect() {
             self.suspects.insert(id, losses);
         }
@@ -197,7 +197,7 @@
     }
 
     /// Frees the capacity of a task.
-    pub fn vacate(&mut self, id: TaskId, attempt: Attempt) {
+    pub fn deallocate(&mut self, id: TaskId, attempt: Attempt) {
         if let Some(need) = self.tasks.remove(&(id, attempt)) {
             self.used = self.used.sub(&need);
             self.suspects.remove(&id);
@@ -205,18 +205,18 @@
     }
 
     /// Records an answer that carries the runner's clock.
-    pub fn heard(&mut self, clock: u64, now: Now) {
-        self.heard_at = now.mono;
-        self.silent = None;
+    pub fn record_answer(&mut self, clock: u64, now: Now) {
+        self.last_contact = now.mono;
+        self.unanswered_since = None;
         if self.clock.is_none_or(|(c, _)| clock >= c) {
             self.clock = Some((clock, now.mono));
         }
     }
 
     /// Records a call without an answer.
-    pub fn unheard(&mut self, now: Now) {
-        self.missed = true;
-        self.silent.get_or_insert(now.mono);
+    pub fn record_no_answer(&mut self, now: Now) {
+        self.unanswered = true;
+        self.unanswered_since.get_or_insert(now.mono);
     }
 
     /// The end of a lease of `hold` ms from now, on the runner's clock. It is recorded, since the
@@ -224,25 +224,25 @@
     pub fn extend(&mut self, hold: u64, now: Now) -> Option<u64> {
         let (clock, at) = self.clock?;
         let until = clock + now.mono.saturating_sub(at) + hold;
-        self.until = self.until.max(until);
+        self.lease_until = self.lease_until.max(until);
         Some(until)
     }
 
     /// When every lease that was sent there has expired by the slowest clock, local ms. Before this
-    /// term has sent one, only the leases of its predecessors count, which have expired at
-    /// `foreign`.
-    pub(super) fn lease_over(&self, foreign: u64) -> u64 {
+    /// term has sent one, only the leases of its predecessors count, which end at
+    /// `predecessors`.
+    pub(super) fn lease_end(&self, predecessors: u64) -> u64 {
         match self.clock {
-            Some((clock, at)) if self.until > 0 => {
-                let rest = (self.until + LAPSE_MARGIN_MS).saturating_sub(clock);
-                at + (rest * 1000).div_ceil(SLOW_CLOCK)
+            Some((clock, at)) if self.lease_until > 0 => {
+                let rest = (self.lease_until + LEASE_MARGIN_MS).saturating_sub(clock);
+                at + (rest * 1000).div_ceil(SLOWEST_CLOCK_PERMILLE)
             }
-            _ => foreign,
+            _ => predecessors,
         }
     }
 
-    fn lapsed(&self, now: Now, foreign: u64) -> bool {
-        now.mono > self.lease_over(foreign)
+    fn lease_expired(&self, now: Now, predecessors: u64) -> bool {
+        now.mono > self.lease_end(predecessors)
     }
 }
 
@@ -261,7 +261,7 @@
     pub fn register(&mut self, id: &str, entry: Option<RunnerEntry>) {
         let k = self.runner_named(id);
         let runner = self.runners.get_mut(k);
-        let was = (runner.listed, runner.entry.as_ref().is_some_and(|e| e.draining));
+        let before = (runner.listed, runner.entry.as_ref().is_some_and(|e| e.draining));
         runner.listed = entry.is_some();
         if let Some(e) = entry {
             let (room, used) = (runner.room(), runner.used);
@@ -274,9 +274,9 @@
             runner.rack = *self.racks.entry(e.rack.clone()).or_insert(next);
             runner.entry = Some(e);
         }
-        let is = (runner.listed, runner.entry.as_ref().is_some_and(|e| e.draining));
-        if was != is {
-            log::info!(runner = id, listed = is.0, draining = is.1, tasks = runner.tasks.len();
+        let after = (runner.listed, runner.entry.as_ref().is_some_and(|e| e.draining));
+        if before != after {
+            log::info!(runner = id, listed = after.0, draining = after.1, tasks = runner.tasks.len();
                 "registry entry changed");
         }
     }
@@ -295,14 +295,14 @@
     }
 
     /// Polls every runner whose next poll is due.
-    pub(super) fn look(&mut self, now: Now) {
+    pub(super) fn poll_runners(&mut self, now: Now) {
         let (fence, hold) = (self.fence, self.rules.hold_ms);
         let jobs = &self.jobs;
         let stored = |id: &JobId, rev: u64| jobs.get(id).is_none_or(|j| j.stored >= rev);
         let mut acts = Vec::new();
         for (k, r) in self.runners.iter_mut() {
-            let wanted = r.listed || !r.tasks.is_empty();
-            if r.holding || r.over || !wanted || r.hold_at > now.mono {
+            let needed = r.listed || !r.tasks.is_empty();
+            if r.polling || r.replaced || !needed || r.next_poll > now.mono {
                 continue;
             }
             let Some(to) = r.call() else { continue };
@@ -313,15 +313,15 @@
             // extend the lease either: it may take effect at a runner that receives calls and whose
             // answers are lost, and leases that are sent repeatedly to an unreachable runner would
             // never expire.
-            let until = if r.missed { None } else { r.extend(hold, now) };
+            let until = if r.unanswered { None } else { r.extend(hold, now) };
             let idle = r.tasks.is_empty() && r.unacked.is_empty();
             let wait_ms = match until {
                 None => 0,
-                Some(_) if idle => IDLE_WAIT_MS,
-                Some(_) => LOOK_WAIT_MS,
+                Some(_) if idle => IDLE_POLL_WAIT_MS,
+                Some(_) => POLL_WAIT_MS,
             };
-            r.wait_ms = wait_ms.max(LOOK_WAIT_MS);
-            r.holding = true;
+            r.wait_ms = wait_ms.max(POLL_WAIT_MS);
+            r.polling = true;
             let hold = Hold { fence, acked: r.acked, until, wait_ms };
             acts.push(Action::Hold { runner: k, to, hold });
         }
@@ -329,37 +329,38 @@
     }
 
     /// Another incarnation answers at the runner's address: all runs of this one are lost.
-    pub(super) fn runner_over(&mut self, k: RunnerKey, now: Now) {
-        if !self.runners.get(k).over {
+    pub(super) fn runner_replaced(&mut self, k: RunnerKey, now: Now) {
+        if !self.runners.get(k).replaced {
             log::info!(runner = self.runners.get(k).id, tasks = self.runners.get(k).tasks.len();
                 "runner replaced by another life");
         }
-        self.runners.get_mut(k).over = true;
-        self.write_off(k, Loss::OtherLife, now);
+        self.runners.get_mut(k).replaced = true;
+        self.mark_lost(k, Loss::OtherLife, now);
     }
 
     /// When the leases that predecessors sent have expired, local ms. A predecessor that cannot
     /// reach the store but can reach a runner may extend that runner's lease until it must step
     /// down; from then on the lease runs out.
-    pub(super) fn foreign_over(&self) -> u64 {
-        let lease = self.rules.hold_ms * 1000 / SLOW_CLOCK + LAPSE_MARGIN_MS;
+    pub(super) fn predecessor_leases_end(&self) -> u64 {
+        let lease = self.rules.hold_ms * 1000 / SLOWEST_CLOCK_PERMILLE + LEASE_MARGIN_MS;
         self.since + self.rules.yield_ms + lease
     }
 
     /// Marks the runs on runners whose leases have expired as lost.
-    pub(super) fn lapse(&mut self, now: Now) {
-        let foreign = self.foreign_over();
+    pub(super) fn expire_leases(&mut self, now: Now) {
+        let predecessors = self.predecessor_leases_end();
         let due: Vec<RunnerKey> = self
             .runners
             .iter()
-            .filter(|(_, r)| !r.tasks.is_empty() && r.lapsed(now, foreign))
+            .filter(|(_, r)| !r.tasks.is_empty() && r.lease_expired(now, predecessors))
             .map(|(k, _)| k)
             .collect();
         for k in due {
             let r = self.runners.get(k);
-            log::warn!(runner = r.id, tasks = r.tasks.len(), silent_ms = now.mono - r.heard_at;
+            log::warn!(runner = r.id, tasks = r.tasks.len(),
+                silent_ms = now.mono - r.last_contact;
                 "lease over: tasks written off");
-            self.write_off(k, Loss::LeaseOver, now);
+            self.mark_lost(k, Loss::LeaseOver, now);
         }
     }
 }
--- a/src/control/engine/runs.rs
+++ b/src/control/engine/runs.rs
@@ -13,17 +13,17 @@
 
 /// Delay before an unanswered start is repeated, ms. A runner answers within a few ms, and a
 /// repeated start of a run that already exists has no effect.
-const RETRY_START_MS: u64 = 60;
+const START_RETRY_MS: u64 = 60;
 
 /// Starts sent for an attempt before the attempt is stopped and the task goes elsewhere.
-const START_TRIES: u32 = 3;
+const MAX_START_TRIES: u32 = 3;
 
 /// A ticket must be valid for this much longer when a start is sent, ms: several times the delay of
 /// the advice service's answer and of the start.
-const TICKET_WAY_MS: u64 = 20;
+const TICKET_START_MARGIN_MS: u64 = 20;
 
 /// Interval between repetitions of an unanswered stop, ms.
-const RETRY_STOP_MS: u64 = 300;
+const STOP_RETRY_MS: u64 = 300;
 
 /// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,31 +64,31 @@
 
 /// Reason for which a run is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopWhy {
+pub enum StopReason {
     /// Its job has ended or was cancelled.
     JobEnded,
     /// A member of its gang is lost.
     GangBroken,
     /// It makes no progress.
-    Hangs,
+    NoProgress,
     /// Its start was not answered, and must have no effect any more.
     NoAnswer,
     /// It is preempted by a gang.
-    MakesRoom,
+    Preempted,
     /// An earlier stop was not answered.
-    Again,
+    Repeated,
 }
 
-impl StopWhy {
+impl StopReason {
     /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::JobEnded => "job ended",
             Self::GangBroken => "gang broken",
-            Self::Hangs => "no progress",
+            Self::NoProgress => "no progress",
             Self::NoAnswer => "start not answered",
-            Self::MakesRoom => "makes room for a gang",
-            Self::Again => "earlier stop not answered",
+            Self::Preempted => "makes room for a gang",
+            Self::Repeated => "earlier stop not answered",
         }
     }
 }
@@ -103,7 +103,7 @@
     /// Number of starts sent.
     pub tries: u32,
     /// A start was not answered: its outcome is unknown, and it may take effect later.
-    pub unsure: bool,
+    pub outcome_unknown: bool,
     /// Progress as reported by the runner.
     pub progress: Progress,
     /// When a stop was last sent, local ms.
@@ -116,7 +116,7 @@
     /// A run on `runner` of which no start has been sent by this leader.
     pub fn new(runner: RunnerKey, stage: Stage) -> Self {
         let progress = Progress::default();
-        Self { runner, stage, tries: 0, unsure: false, progress, stop_at: 0, ticket: None }
+        Self { runner, stage, tries: 0, outcome_unknown: false, progress, stop_at: 0, ticket: None }
     }
 }
 
@@ -152,7 +152,7 @@
     }
 
     /// Orders the stop of a task's run, unless a stop was already acknowledged.
-    pub(super) fn order_stop(&mut self, id: TaskId, why: StopWhy, now: Now) {
+    pub(super) fn order_stop(&mut self, id: TaskId, why: StopReason, now: Now) {
         let fence = self.fence;
         let Some(task) = self.task_mut(id) else { return };
         let attempt = task.attempt;
@@ -171,7 +171,7 @@
     }
 
     /// Stops all runs of a step. Runs whose start was not sent yet are released at once.
-    pub(super) fn stop_step(&mut self, step: StepId, why: StopWhy, now: Now) {
+    pub(super) fn stop_step(&mut self, step: StepId, why: StopReason, now: Now) {
         let Some(s) = self.step(step) else { return };
         let ids: Vec<TaskId> = s.ids().collect();
         for id in ids {
@@ -190,20 +190,20 @@
         let Some(task) = self.task_mut(id) else { return };
         let attempt = task.attempt;
         let Some(run) = task.run.take() else { return };
-        self.runners.get_mut(run.runner).vacate(id, attempt);
-        self.touch(id.step.job);
+        self.runners.get_mut(run.runner).deallocate(id, attempt);
+        self.mark_changed(id.step.job);
         self.open_steps_of(id.step.job, now);
     }
 
     /// Handles a run whose ordered start had no effect. Members of a gang that did start are
     /// stopped at once, since they would wait for this one forever.
-    fn never_ran(&mut self, id: TaskId, now: Now) {
+    fn release_unstarted(&mut self, id: TaskId, now: Now) {
         self.release(id, now);
         let gang = self.jobs.get(&id.step.job).is_some_and(|j| j.spec(id.step).gang);
         if gang {
-            self.stop_step(id.step, StopWhy::GangBroken, now);
+            self.stop_step(id.step, StopReason::GangBroken, now);
         }
-        self.settle(id.step.job, now);
+        self.update_state(id.step.job, now);
     }
 
     /// Handles the result of a start: the time of the runner's clock, ms, or the reason why it was
@@ -217,61 +217,61 @@
         now: Now,
     ) {
         if res == Err(Refusal::Fenced) {
-            self.fenced_off(k);
+            self.record_fenced(k);
         }
         match res {
-            Ok(clock) => self.runners.get_mut(k).heard(clock, now),
-            Err(Refusal::NoAnswer) => self.runners.get_mut(k).unheard(now),
+            Ok(clock) => self.runners.get_mut(k).record_answer(clock, now),
+            Err(Refusal::NoAnswer) => self.runners.get_mut(k).record_no_answer(now),
             Err(_) => {}
         }
         let Some(run) = self.run_mut(k, id, attempt) else { return };
         if run.stage != Stage::Sent {
-            run.unsure |= res == Err(Refusal::NoAnswer);
+            run.outcome_unknown |= res == Err(Refusal::NoAnswer);
             return;
         }
         match res {
             Ok(clock) => {
                 run.stage = Stage::Running { clock };
                 run.progress.begin(now.mono);
-                self.begin(id.step.job, id.step.occurrence, now);
+                self.mark_running(id.step.job, id.step.occurrence, now);
             }
-            Err(why) => self.not_started(k, id, why, now),
+            Err(why) => self.start_refused(k, id, why, now),
         }
     }
 
-    fn not_started(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
+    fn start_refused(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
         self.counts.refused += 1;
         let name = self.runners.get(k).id.clone();
         log::warn!(task:% = id, runner = name, why:% = why; "start not carried out");
         let Some(task) = self.task_mut(id) else { return };
         let Some(run) = task.run.as_mut() else { return };
-        run.unsure |= why == Refusal::NoAnswer;
-        let (unsure, tries) = (run.unsure, run.tries);
+        run.outcome_unknown |= why == Refusal::NoAnswer;
+        let (outcome_unknown, tries) = (run.outcome_unknown, run.tries);
         match why {
             Refusal::Fenced => {}
             Refusal::OtherLife => {
-                if !unsure {
-                    self.never_ran(id, now);
+                if !outcome_unknown {
+                    self.release_unstarted(id, now);
                 }
-                self.runner_over(k, now);
+                self.runner_replaced(k, now);
             }
-            Refusal::NoAnswer | Refusal::Unreachable if tries < START_TRIES => {
-                self.order_start(id, now, RETRY_START_MS);
+            Refusal::NoAnswer | Refusal::Unreachable if tries < MAX_START_TRIES => {
+                self.order_start(id, now, START_RETRY_MS);
             }
             Refusal::Superseded => run.stage = Stage::Running { clock: 0 },
-            Refusal::NoAnswer => self.order_stop(id, StopWhy::NoAnswer, now),
+            Refusal::NoAnswer => self.order_stop(id, StopReason::NoAnswer, now),
             _ => {
-                self.blame(k, id, why, now);
-                match unsure {
-                    true => self.order_stop(id, StopWhy::NoAnswer, now),
-                    false => self.never_ran(id, now),
+                self.record_refusal(k, id, why, now);
+                match outcome_unknown {
+                    true => self.order_stop(id, StopReason::NoAnswer, now),
+                    false => self.release_unstarted(id, now),
                 }
             }
         }
     }
 
     /// Records a refusal that affects further placements.
-    fn blame(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
+    fn record_refusal(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
         let runner = self.runners.get_mut(k);
         match why {
             Refusal::Unhealthy | Refusal::Unreachable | Refusal::NoRoom => {
@@ -297,22 +297,22 @@
         now: Now,
     ) {
         match res {
-            Err(Refusal::Fenced) => self.fenced_off(k),
-            Err(Refusal::OtherLife) => self.runner_over(k, now),
+            Err(Refusal::Fenced) => self.record_fenced(k),
+            Err(Refusal::OtherLife) => self.runner_replaced(k, now),
             Ok(clock) => {
                 if let Some(run) = self.run_mut(k, id, attempt) {
                     run.stage = Stage::Stopping { answered: Some(clock) };
                 }
                 // The completion is reported within the time that the runner takes to stop: poll at
                 // once.
-                self.runners.get_mut(k).hold_at = now.mono;
+                self.runners.get_mut(k).next_poll = now.mono;
             }
             Err(_) => {}
         }
     }
 
     /// Records that a runner has seen a higher fencing token than this term's: the term is over.
-    pub(super) fn fenced_off(&mut self, k: RunnerKey) {
+    pub(super) fn record_fenced(&mut self, k: RunnerKey) {
         if !self.deposed {
             log::warn!(runner = self.runners.get(k).id, fence = self.fence;
                 "a runner has seen a higher fencing token: this term is over");
@@ -328,15 +328,15 @@
             if run.stage != (Stage::Stopping { answered: None }) {
                 continue;
             }
-            let late = run.stop_at + RETRY_STOP_MS <= now.mono;
-            if late && self.runners.get(run.runner).reached(now) {
+            let late = run.stop_at + STOP_RETRY_MS <= now.mono;
+            if late && self.runners.get(run.runner).reachable(now) {
                 due.push((run.runner, id));
             }
             self.stopping.insert(id);
         }
         due.sort_unstable();
         for (_, id) in due {
-            self.order_stop(id, StopWhy::Again, now);
+            self.order_stop(id, StopReason::Repeated, now);
         }
     }
 
@@ -345,15 +345,15 @@
     }
 
     /// Whether the ticket for a task's start has expired. A queue without approval has no tickets.
-    fn ticket_over(&self, id: TaskId, now: Now) -> bool {
+    fn ticket_expired(&self, id: TaskId, now: Now) -> bool {
         let Some(run) = self.run_of(id) else { return false };
         let ticket = self.step(id.step).and_then(|s| s.approvals.tickets.get(&run.runner));
-        ticket.is_some_and(|(_, end)| *end <= now.mono + TICKET_WAY_MS)
+        ticket.is_some_and(|(_, end)| *end <= now.mono + TICKET_START_MARGIN_MS)
     }
 
     /// Whether the capacity of a task's runner has fallen below what is allocated there since the
     /// task was placed.
-    fn room_gone(&self, id: TaskId) -> bool {
+    fn capacity_shrunk(&self, id: TaskId) -> bool {
         let Some(run) = self.run_of(id) else { return false };
         let runner = self.runners.get(run.runner);
         !runner.used.fits(&runner.room())
@@ -374,20 +374,21 @@
             .map(|(id, _)| id)
             .collect();
         let gang = self.jobs.get(&step.job).is_some_and(|j| j.spec(step).gang);
-        let (mut over, mut good): (Vec<_>, Vec<_>) =
-            due.into_iter().partition(|id| self.ticket_over(*id, now) || self.room_gone(*id));
-        if gang && !over.is_empty() {
-            over.append(&mut good);
+        let (mut expired, mut valid): (Vec<_>, Vec<_>) = due
+            .into_iter()
+            .partition(|id| self.ticket_expired(*id, now) || self.capacity_shrunk(*id));
+        if gang && !expired.is_empty() {
+            expired.append(&mut valid);
         }
-        if !over.is_empty() {
-            let shrunk = over.iter().filter(|id| self.room_gone(**id)).count();
-            log::info!(step:% = step, tasks = over.len(), shrunk;
+        if !expired.is_empty() {
+            let shrunk = expired.iter().filter(|id| self.capacity_shrunk(**id)).count();
+            log::info!(step:% = step, tasks = expired.len(), shrunk;
                 "ticket or room gone before the start");
         }
-        for id in over {
+        for id in expired {
             self.release(id, now);
         }
-        for id in good {
+        for id in valid {
             self.order_start(id, now, 0);
         }
     }
--- a/src/control/engine/stored.rs
+++ b/src/control/engine/stored.rs
@@ -7,11 +7,12 @@
 use crate::control::rows::{ProgressRow, StepRow, TaskRow};
 
 impl Job {
-    /// Applies a stored row. The leases that predecessors sent have expired at `over`, local ms.
+    /// Applies a stored row. The leases that predecessors sent have expired at `leases_end`, local
+    /// ms.
     pub(super) fn load(
         &mut self,
         p: &ProgressRow,
-        over: u64,
+        leases_end: u64,
         runner: &mut impl FnMut(&str) -> RunnerKey,
     ) {
         self.state = p.state;
@@ -20,8 +21,8 @@
             self.steps.clear();
         }
         for (step, row) in self.steps.iter_mut().zip(&p.steps) {
-            let StepRow(fails, attempt, tasks, unseen) = row;
-            step.unseen = unseen.iter().map(|a| (*a, over)).collect();
+            let StepRow(fails, attempt, tasks, unreported) = row;
+            step.unreported = unreported.iter().map(|a| (*a, leases_end)).collect();
             step.gang_fails = *fails;
             step.failed_attempt = *attempt;
             for (task, row) in step.tasks.iter_mut().zip(tasks) {
@@ -44,8 +45,8 @@
         };
         let step = |s: &StepRun| {
             let tasks = s.tasks.iter().map(task).collect();
-            let unseen = s.unseen.keys().copied().collect();
-            StepRow(s.gang_fails, s.failed_attempt, tasks, unseen)
+            let unreported = s.unreported.keys().copied().collect();
+            StepRow(s.gang_fails, s.failed_attempt, tasks, unreported)
         };
         let steps = self.steps.iter().map(step).collect();
         ProgressRow { state: self.state, ended: self.ended, steps }
--- a/src/control/engine/storing.rs
+++ b/src/control/engine/storing.rs
@@ -16,13 +16,13 @@
 
 /// While a placement has waited for the store for longer than this, nothing more is decided, ms:
 /// several commits of a store sixty times too slow, and less than a ticket's validity.
-const LATE_MS: u64 = 1_400;
+const STORE_LATE_MS: u64 = 1_400;
 
 /// Time in which the pending jobs should be stored, ms: a fraction of a ticket's validity.
-const HORIZON_MS: u64 = 600;
+const WINDOW_MS: u64 = 600;
 
 /// Minimum limit of pending jobs of a partition: one transaction.
-const LEAST_WINDOW: u64 = 46;
+const MIN_WINDOW: u64 = 46;
 
 /// Placements of a job that are not stored.
 #[derive(Clone, Copy, Debug)]
@@ -31,19 +31,19 @@
     at: u64,
     /// Revision of the job that stores them.
     rev: u64,
-    patient: bool,
+    non_urgent: bool,
 }
 
 /// Jobs with placements that are not stored, by partition and whether their queue is non-urgent.
 #[derive(Debug, Default)]
 pub(super) struct Storing {
     waiting: BTreeMap<(Part, bool), BTreeSet<(u64, JobId)>>,
-    parts: [Speed; parts::COUNT],
+    parts: [WritePerformance; parts::COUNT],
 }
 
 /// Recent write performance of a partition.
 #[derive(Clone, Copy, Debug, Default)]
-struct Speed {
+struct WritePerformance {
     /// Duration of the last commit, ms.
     took: u64,
     /// When it ended, local ms.
@@ -59,67 +59,68 @@
     }
 
     /// Records that a commit sent at `sent` stored `rows` rows of a partition.
-    pub fn note(&mut self, part: Part, rows: usize, sent: u64, now: u64) {
+    pub fn record_commit(&mut self, part: Part, rows: usize, sent: u64, now: u64) {
         let speed = &mut self.parts[part.index()];
         let took = now.saturating_sub(sent);
         // For transactions that are carried out one after the other, the time counts from the end
         // of the previous one.
         let span = took.min(now.saturating_sub(speed.ended)).max(1);
-        *speed = Speed { took, ended: now, rate: rows as u64 * 1_000 / span };
+        *speed = WritePerformance { took, ended: now, rate: rows as u64 * 1_000 / span };
     }
 
     /// Maximum number of pending jobs of a partition; unlimited before the first commit.
     fn window(&self, part: Part) -> u64 {
         match self.parts[part.index()] {
-            Speed { ended: 0, .. } => u64::MAX,
-            speed => (speed.rate * HORIZON_MS / 1_000).max(LEAST_WINDOW),
+            WritePerformance { ended: 0, .. } => u64::MAX,
+            speed => (speed.rate * WINDOW_MS / 1_000).max(MIN_WINDOW),
         }
     }
 
     /// Number of jobs of a partition with placements that wait, of non-urgent queues or of urgent
     /// ones.
-    fn count(&self, part: Part, patient: bool) -> usize {
-        self.waiting.get(&(part, patient)).map_or(0, BTreeSet::len)
+    fn count(&self, part: Part, non_urgent: bool) -> usize {
+        self.waiting.get(&(part, non_urgent)).map_or(0, BTreeSet::len)
     }
 
     /// Whether a placement of a partition has waited too long.
-    fn late(&self, part: Part, patient: bool, now: u64) -> bool {
-        let first = self.waiting.get(&(part, patient)).and_then(BTreeSet::first);
-        first.is_some_and(|(at, _)| at + LATE_MS <= now)
+    fn late(&self, part: Part, non_urgent: bool, now: u64) -> bool {
+        let first = self.waiting.get(&(part, non_urgent)).and_then(BTreeSet::first);
+        first.is_some_and(|(at, _)| at + STORE_LATE_MS <= now)
     }
 }
 
 impl Engine {
     /// Whether nothing is decided for a job now, since earlier decisions wait for the store.
-    pub(super) fn store_busy(&self, id: JobId, patient: bool, now: Now) -> bool {
+    pub(super) fn store_busy(&self, id: JobId, non_urgent: bool, now: Now) -> bool {
         let part = Part::of(id);
-        let under_way =
-            |patient| self.storing.count(part, patient) + self.questions.steps(part, patient);
-        let all = under_way(false) + if patient { under_way(true) } else { 0 };
-        all as u64 >= self.storing.window(part) || self.storing.late(part, patient, now.mono)
+        let pending = |non_urgent| {
+            self.storing.count(part, non_urgent) + self.advice_requests.steps(part, non_urgent)
+        };
+        let all = pending(false) + if non_urgent { pending(true) } else { 0 };
+        all as u64 >= self.storing.window(part) || self.storing.late(part, non_urgent, now.mono)
     }
 
     /// Records a placement that has to be stored with revision `rev` of its job.
-    pub(super) fn note_unstored(&mut self, id: JobId, rev: u64, patient: bool, now: Now) {
+    pub(super) fn record_unstored(&mut self, id: JobId, rev: u64, non_urgent: bool, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.unstored.is_none() {
-            job.unstored = Some(Unstored { at: now.mono, rev, patient });
-            let waiting = self.storing.waiting.entry((Part::of(id), patient)).or_default();
+            job.unstored = Some(Unstored { at: now.mono, rev, non_urgent });
+            let waiting = self.storing.waiting.entry((Part::of(id), non_urgent)).or_default();
             waiting.insert((now.mono, id));
         }
     }
 
     /// Records that revision `rev` of a job is stored. Placements decided since then wait from now
     /// on.
-    pub(super) fn note_stored(&mut self, id: JobId, rev: u64, now: Now) {
+    pub(super) fn record_stored(&mut self, id: JobId, rev: u64, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(unstored) = job.unstored.take_if(|u| u.rev <= rev) else { return };
         let newest = job.newest_placement();
-        if let Some(waiting) = self.storing.waiting.get_mut(&(Part::of(id), unstored.patient)) {
+        if let Some(waiting) = self.storing.waiting.get_mut(&(Part::of(id), unstored.non_urgent)) {
             waiting.remove(&(unstored.at, id));
         }
         if let Some(later) = newest.filter(|r| *r > rev) {
-            self.note_unstored(id, later, unstored.patient, now);
+            self.record_unstored(id, later, unstored.non_urgent, now);
         }
     }
 }
--- a/tests/control_engine.rs
+++ b/tests/control_engine.rs
@@ -7,7 +7,7 @@
 }
 
 use common::control::{queue, step, Cell, Faults, RULES, STEP_MS};
-use currantgw::control::engine::MOST_LOOKS;
+use currantgw::control::engine::MAX_CHECKS_PER_ROUND;
 use currantgw::control::model::{Approval, EndKind, JobId, JobState, Step, StepId, TaskId};
 use currantgw::kernel::res::Resources;
 use rand::rngs::StdRng;
@@ -522,7 +522,7 @@
         cell.run(STEP_MS);
         let looks = cell.engine.counts.looks - before;
         // A sweep ranks all that waits as it begins; the last step visited looks at all runners a few times.
-        let most = MOST_LOOKS + open + 4 * 350;
+        let most = MAX_CHECKS_PER_ROUND + open + 4 * 350;
         assert!(looks <= most, "{} ms: {looks} looks, {open} steps wait", cell.now);
     }
     cell.check();
