--- a/src/control/engine/ask.rs
+++ b/src/control/engine/ask.rs
@@ -175,16 +175,17 @@
         missing: usize,
     ) -> Vec<RunnerKey> {
         let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
-        let most = if v.step.gang { MAX_NAMED } else { MAX_NAMED_SINGLE };
-        let (mut left, mut needed) = (missing as u64, 0);
+        let limit = if v.step.gang { MAX_NAMED } else { MAX_NAMED_SINGLE };
+        let (mut unplaced, mut needed) = (missing as u64, 0);
         let mut out = Vec::new();
-        for p in places.take(most) {
-            if left == 0 && out.len() >= rate.runners_to_name(needed) {
+        for p in places.take(limit) {
+            if unplaced == 0 && out.len() >= rate.runners_to_name(needed) {
                 break;
             }
-            if left > 0 {
+            if unplaced > 0 {
                 needed += 1;
-                left = left.saturating_sub(place::slots(&p, &v.step.demand()).max(1).into());
+                unplaced =
+                    unplaced.saturating_sub(place::slots(&p, &v.step.demand()).max(1).into());
             }
             out.push(p.key);
         }
--- a/src/control/engine/commit.rs
+++ b/src/control/engine/commit.rs
@@ -100,8 +100,8 @@
             let mut by_rank: Vec<(Rank, u64, JobId)> =
                 by_rank.into_iter().map(|(at, id)| (self.rank_of(id), at, id)).collect();
             by_rank.sort_unstable();
-            let rest = max - oldest.len();
-            oldest.extend(by_rank.into_iter().take(rest).map(|(_, at, id)| (at, id)));
+            let remaining = max - oldest.len();
+            oldest.extend(by_rank.into_iter().take(remaining).map(|(_, at, id)| (at, id)));
         }
         oldest.into_iter().map(|(_, id)| id).collect()
     }
--- a/src/control/engine/gangs.rs
+++ b/src/control/engine/gangs.rs
@@ -101,9 +101,9 @@
     ) -> Option<RunnerKey> {
         let s = self.step(step)?;
         let &(_, k) = remaining.first()?;
-        let one = remaining.iter().all(|&(_, on)| on == k);
-        let others = s.broken.count + remaining.len() == s.tasks.len();
-        (one && others && self.runners.get(k).poll_failed).then_some(k)
+        let same_runner = remaining.iter().all(|&(_, on)| on == k);
+        let others_broken = s.broken.count + remaining.len() == s.tasks.len();
+        (same_runner && others_broken && self.runners.get(k).poll_failed).then_some(k)
     }
 
     /// Whether a gang may be started again. Each completion that was not received may be a failure,
--- a/src/control/engine/lifecycle.rs
+++ b/src/control/engine/lifecycle.rs
@@ -146,16 +146,16 @@
     pub(super) fn update_state(&mut self, id: JobId, now: Now) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.state.ended() {
-            let failed = self.cat.queues.get(&job.row.queue).map_or(u32::MAX, |q| q.max_fails);
+            let max_fails = self.cat.queues.get(&job.row.queue).map_or(u32::MAX, |q| q.max_fails);
             let spec = &job.row.spec;
             let failed_too_often = job.steps.iter().any(|s| {
                 let step = &spec.steps[s.id.step as usize];
-                let worst = s.tasks.iter().map(|t| t.fails).max().unwrap_or(0);
-                !step.lasts && worst.max(s.gang_fails) >= failed
+                let most_fails = s.tasks.iter().map(|t| t.fails).max().unwrap_or(0);
+                !step.lasts && most_fails.max(s.gang_fails) >= max_fails
             });
             let mut ids = job.steps.iter().flat_map(|s| s.ids().zip(&s.tasks));
             if failed_too_often {
-                log::info!(job:% = id, limit = failed; "job failed: a task failed too often");
+                log::info!(job:% = id, limit = max_fails; "job failed: a task failed too often");
                 self.finish(id, JobState::Failed, now);
             } else if let Some((task, t)) = ids.find(|(_, t)| !t.done && t.losses.crash_loop()) {
                 let Losses { count, chance, .. } = t.losses;
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -61,12 +61,12 @@
     pub(super) fn record_lost(&mut self, k: RunnerKey, lost: &[TaskId], why: Loss, now: Now) {
         let runner = self.runners.get(k);
         let silent_since = runner.unanswered_since.unwrap_or(now.mono);
-        let leaving = runner.entry.as_ref().is_some_and(|e| e.draining);
+        let draining = runner.entry.as_ref().is_some_and(|e| e.draining);
         // A runner that is still registered when its lease expires is unreachable and has not
         // crashed.
         let crashed = why != Loss::LeaseOver || !runner.listed;
         lost.iter().for_each(|id| self.log_lost(k, *id, why, silent_since, now));
-        if !leaving {
+        if !draining {
             self.count_lost(k, lost, silent_since, crashed, now);
         }
     }
@@ -82,12 +82,12 @@
         now: Now,
     ) {
         let before = |id: &TaskId| self.task(*id).map_or(0, |t| t.losses.count);
-        let most = lost.iter().map(before).max().unwrap_or(0);
+        let most_losses = lost.iter().map(before).max().unwrap_or(0);
         let rate = self.loss_rate;
         for &id in lost {
             let Some(task) = self.task_mut(id).filter(|t| t.was_sent()) else { continue };
             let ran = observed_run_ms(task, silent_since);
-            let conclusive = ran.filter(|_| crashed && task.losses.count == most);
+            let conclusive = ran.filter(|_| crashed && task.losses.count == most_losses);
             let chance = conclusive.map_or(1.0, |ms| rate.chance(ms));
             task.losses.add(task.attempt, k, chance);
             self.mark_changed(id.step.job);
--- a/src/control/engine/preempt.rs
+++ b/src/control/engine/preempt.rs
@@ -40,10 +40,10 @@
         let Some(s) = self.step_mut(v.id) else { return false };
         let count = s.tasks.len();
         let need = v.step.demand();
-        let asked = need.cpu * count as u64;
+        let demand = need.cpu * count as u64;
         if !rank.patient
             || rank.worthless
-            || reserved.without(asked).exceeds(MAX_BACKLOG_PERCENT)
+            || reserved.without(demand).exceeds(MAX_BACKLOG_PERCENT)
             || s.preempt_tried + PREEMPT_INTERVAL_MS > now.mono
         {
             return false;
--- a/src/control/engine/reports.rs
+++ b/src/control/engine/reports.rs
@@ -35,9 +35,9 @@
                         "runner answers again");
                 }
                 runner.record_answer(report.clock, now);
-                let new = report.ends.last().map_or(0, |e| e.number) > runner.last_completion;
+                let has_new = report.ends.last().map_or(0, |e| e.number) > runner.last_completion;
                 runner.next_poll = now.mono
-                    + match (report.ends.is_empty(), new) {
+                    + match (report.ends.is_empty(), has_new) {
                         (true, _) => 0,
                         (false, true) => STORE_DELAY_MS,
                         (false, false) => UNSTORED_DELAY_MS,
--- a/src/control/engine/reserve.rs
+++ b/src/control/engine/reserve.rs
@@ -77,12 +77,12 @@
 
     /// Whether a gang of this rank may begin to reserve runners.
     pub fn allows(&self, rank: Rank) -> bool {
-        let most = if rank.late || self.backlog.exceeds(OVERLOAD_PERCENT) {
+        let limit = if rank.late || self.backlog.exceeds(OVERLOAD_PERCENT) {
             MAX_RESERVING_GANGS_OVERLOADED
         } else {
             MAX_RESERVING_GANGS
         };
-        rank.patient && self.gangs < most
+        rank.patient && self.gangs < limit
     }
 }
 
