--- a/src/control/parts.rs
+++ b/src/control/parts.rs
@@ -1,62 +1,62 @@
-//! Parts of the progress table.
+//! Partitions of the progress table.
 //!
-//! A part of the store takes one transaction at a time, whatever other parts do. With all progress
-//! in one part, a store that is slow stores less than a busy cell changes, and one that has lost this part
-//! stores nothing: jobs are spread over several, each of which has a fence of its own
-//! ([`super::rows::fence_key`]).
+//! A partition of the store executes one transaction at a time, independently of the others. With
+//! all progress in one partition, a slow store could not keep up with a busy cell, and a store that
+//! has lost this partition would store nothing. So jobs are spread over several partitions, each
+//! with a fence row of its own ([`super::rows::fence_key`]).
 
 use super::model::JobId;
 use std::ops::RangeInclusive;
 
-/// Number of parts, a power of two.
+/// Number of partitions, a power of two.
 pub const COUNT: usize = 8;
 
-/// Bits of a job's id after those that say its part.
+/// Number of bits of a job's id below those that select the partition.
 const REST_BITS: u32 = u64::BITS - COUNT.ilog2();
 
-/// A part of the progress table.
+/// A partition of the progress table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Part(u8);
 
 impl Part {
-    /// Every part.
+    /// All partitions, by index.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..COUNT as u8).map(Self)
     }
 
-    /// The part of a job's progress: its id's leading bits.
+    /// The partition of a job's progress, selected by the leading bits of its id.
     pub fn of(id: JobId) -> Self {
         Self((id.0 >> REST_BITS) as u8)
     }
 
-    /// The jobs whose progress is in it.
+    /// Ids of the jobs whose progress is in this partition.
     pub fn jobs(self) -> RangeInclusive<JobId> {
         let first = u64::from(self.0) << REST_BITS;
         JobId(first)..=JobId(first | ((1 << REST_BITS) - 1))
     }
 
-    /// Its position among all.
+    /// Index of this partition, below [`COUNT`].
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 
-    /// Its name in the store.
+    /// Name of this partition in the store.
     pub fn name(self) -> String {
         format!("p{}", self.0)
     }
 }
 
-/// Jobs whose progress goes into one transaction.
+/// Partitions whose rows one transaction may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// Of any parts.
+    /// All partitions.
     All,
-    /// Of one part.
+    /// One partition.
     One(Part),
 }
 
 impl Scope {
-    /// The jobs in it.
+    /// Ids of the jobs in scope.
     pub fn jobs(self) -> RangeInclusive<JobId> {
         match self {
             Self::All => JobId(0)..=JobId(u64::MAX),
--- a/src/control/rows.rs
+++ b/src/control/rows.rs
@@ -1,13 +1,13 @@
-//! What the control plane keeps in the store: tables, keys and encodings (CBOR).
+//! Schema of the control plane's rows in the store: tables, keys and encodings (CBOR).
 //!
-//! | table | part | key | value | written by |
+//! | table | partition | key | value | written by |
 //! |---|---|---|---|---|
-//! | `jobs` | leading bits of the id | id | the job as submitted | the instance that accepts it, once |
+//! | `jobs` | leading bits of the id | id | the job as submitted | the accepting instance, once |
 //! | `jobs` | leading bits of the id | id`.cancel` | when it was cancelled | any instance |
-//! | `progress` | `p0` to `p7` | id | state, attempts, placements, ends | the scheduler in office |
-//! | `office` | `cell` | `holder` | who is the scheduler | whoever takes office |
-//! | `office` | `cell` | `beat` | a counter | the scheduler |
-//! | `office` | `p0` to `p7` | `fence` | token of the scheduler that may write there | whoever takes office |
+//! | `progress` | `p0` to `p7` | id | state, attempts, placements, completions | the leader |
+//! | `office` | `cell` | `holder` | the leader | a new leader, or one that steps down |
+//! | `office` | `cell` | `beat` | time of the last heartbeat, Unix ms | the leader |
+//! | `office` | `p0` to `p7` | `fence` | token of the leader that may write there | a new leader |
 
 use super::model::{Attempt, Invalid, JobId, JobSpec, JobState, MAX_MOMENT};
 use super::parts::Part;
@@ -20,75 +20,75 @@
 /// Table of submitted jobs and cancellations.
 pub const JOBS: &str = "jobs";
 
-/// Table of what became of jobs.
+/// Table of the progress of jobs.
 pub const PROGRESS: &str = "progress";
 
-/// Table of the scheduler's office.
+/// Table of the leader election.
 pub const OFFICE: &str = "office";
 
-/// Part of the holder's row and of its sign of life.
+/// Partition of the leader's row and of the heartbeat.
 pub const CELL: &str = "cell";
 
-/// Follows the id in the key of a cancellation.
-const CANCEL: &str = ".cancel";
+/// Suffix of the job's id in the key of a cancellation.
+const CANCEL_SUFFIX: &str = ".cancel";
 
-/// Most processor that a holder is believed to have, thousandths of a core: a thousand times the
-/// largest machines there are.
+/// Largest valid size of a leader, thousandths of a core: a thousand times the largest machines
+/// there are.
 const MAX_SIZE: u64 = 1 << 32;
 
-/// Why a row cannot be read.
+/// Why a row cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRow {
-    /// Not CBOR, a field is missing, of another type or out of bounds.
+    /// Not CBOR, or a field is missing, of another type or out of bounds.
     #[error("row cannot be decoded: {0}")]
     Unreadable(String),
-    /// Bytes follow the value.
+    /// The given number of bytes follow the value.
     #[error("{0} bytes follow the row")]
     Trailing(usize),
 }
 
-/// A row that is well formed and cannot be true. A later version or another program may have
-/// written it; taken at its word it would end one scheduler after the other, since each
-/// successor reads it, too.
+/// Why a row that decodes is invalid: it holds an impossible value, written by a later version or
+/// another program. Trusted without a check, it would terminate one leader after the other, since
+/// each successor reads it, too.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Absurd {
     /// A job that would not have been accepted.
     #[error("not a job: {0}")]
     Job(#[from] Invalid),
-    /// A moment too far away.
+    /// A time beyond [`MAX_MOMENT`].
     #[error("moment beyond {MAX_MOMENT}")]
     Moment,
-    /// More failures than there are numbers of starts.
+    /// More failures than there are attempt numbers.
     #[error("more than {} failures", Attempt::LAST)]
     Fails,
-    /// More processor than any machine has.
+    /// A size beyond [`MAX_SIZE`].
     #[error("size beyond {MAX_SIZE}")]
     Size,
 }
 
-fn moment(at: u64) -> Result<u64, Absurd> {
+fn check_time(at: u64) -> Result<u64, Absurd> {
     match at <= MAX_MOMENT {
         true => Ok(at),
         false => Err(Absurd::Moment),
     }
 }
 
-fn fails(n: u32) -> Result<(), Absurd> {
+fn check_failures(n: u32) -> Result<(), Absurd> {
     match n <= Attempt::LAST {
         true => Ok(()),
         false => Err(Absurd::Fails),
     }
 }
 
-/// A job as accepted.
+/// A job as it was accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "WireJob")]
 pub struct JobRow {
-    /// Its queue.
+    /// Queue that it was submitted to.
     pub queue: String,
     /// When it was accepted, Unix ms on the clock of the accepting instance.
     pub at: u64,
-    /// What was submitted.
+    /// The job's specification.
     pub spec: JobSpec,
 }
 
@@ -104,21 +104,22 @@
 
     fn try_from(w: WireJob) -> Result<Self, Absurd> {
         w.spec.check()?;
-        Ok(Self { queue: w.queue, at: moment(w.at)?, spec: w.spec })
+        Ok(Self { queue: w.queue, at: check_time(w.at)?, spec: w.spec })
     }
 }
 
-/// Who holds the scheduler's office.
+/// The leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "WireHolder")]
 pub struct HolderRow {
-    /// Its node; empty when the office was given up.
+    /// Id of the leader's instance; empty after it has stepped down.
     pub node: String,
-    /// Drawn at its process's start, so that a restarted process is somebody else.
+    /// Incarnation: a random number drawn when the process starts, so that a restarted process is
+    /// told apart from the previous one.
     pub life: u64,
-    /// Where other instances offer it help.
+    /// Address of its link server.
     pub links: Option<SocketAddr>,
-    /// Thousandths of a processor that it may use; of the last holder once given up.
+    /// Thousandths of a processor that it may use. Kept when the leader steps down.
     pub size: u64,
 }
 
@@ -142,12 +143,12 @@
     }
 }
 
-/// Fencing token of the scheduler that may store progress in a part.
+/// Fencing token of the leader that may store progress in a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceRow(pub u64);
 
-/// A task's progress: attempt, failures, done, runner it may run on, checkpoint, runs in a row that were
-/// lost with their runners.
+/// Progress of a task: attempt, failures, whether it is done, runner it may run on, checkpoint,
+/// consecutive runs that were lost with their runners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow(
     pub Attempt,
@@ -158,20 +159,20 @@
     #[serde(default)] pub u32,
 );
 
-/// A step's progress: failures of the gang and the attempt of the last one, its tasks, and attempts
-/// of the gang whose end was not seen.
+/// Progress of a step: failures of the gang and the attempt of the last one, its tasks, and
+/// attempts of the gang whose completion was not reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRow(pub u32, pub Attempt, pub Vec<TaskRow>, #[serde(default)] pub BTreeSet<Attempt>);
 
-/// A job's progress: its steps, occurrence by occurrence.
+/// Progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "WireProgress")]
 pub struct ProgressRow {
     /// State shown to callers.
     pub state: JobState,
-    /// When it ended, Unix ms; 0 before.
+    /// When the job ended, Unix ms; 0 while it has not.
     pub ended: u64,
-    /// Progress of each step of each occurrence; left out once nothing of the job can run.
+    /// Progress of each step of each occurrence; empty once no task of the job can run again.
     pub steps: Vec<StepRow>,
 }
 
@@ -187,21 +188,21 @@
 
     fn try_from(w: WireProgress) -> Result<Self, Absurd> {
         for StepRow(gang, _, tasks, _) in &w.steps {
-            fails(*gang)?;
-            tasks.iter().try_for_each(|t| fails(t.1.max(t.5)))?;
+            check_failures(*gang)?;
+            tasks.iter().try_for_each(|t| check_failures(t.1.max(t.5)))?;
         }
-        Ok(Self { state: w.state, ended: moment(w.ended)?, steps: w.steps })
+        Ok(Self { state: w.state, ended: check_time(w.ended)?, steps: w.steps })
     }
 }
 
-/// Encodes a row.
+/// Encodes a row as CBOR.
 pub fn encode<T: Serialize>(v: &T) -> Vec<u8> {
     let mut out = Vec::new();
     ciborium::into_writer(v, &mut out).expect("rows are plain data and memory does not fail");
     out
 }
 
-/// Decodes a row.
+/// Decodes a row. Fails if it is unreadable, holds an impossible value, or is followed by bytes.
 pub fn decode<T: DeserializeOwned>(v: &[u8]) -> Result<T, BadRow> {
     let mut rest = v;
     let row = ciborium::from_reader(&mut rest).map_err(|e| BadRow::Unreadable(e.to_string()))?;
@@ -211,67 +212,68 @@
     }
 }
 
-/// Number of parts of the jobs table, a power of two. A part takes one transaction at a time, and every
-/// instance writes its own: with few parts a burst on a slow store would wait in line.
+/// Number of partitions of the jobs table, a power of two. A partition executes one transaction at
+/// a time, and every instance writes transactions of its own: with few partitions, a burst on a
+/// slow store would queue.
 pub const JOB_PARTS: u64 = 64;
 
-/// Number of the part that a job's rows are in: its id's leading bits.
+/// Index of the partition of a job's rows: the leading bits of its id.
 pub fn job_part_index(id: JobId) -> u64 {
     id.0 >> (u64::BITS - JOB_PARTS.ilog2())
 }
 
-/// Name of a part of the jobs table by its number.
+/// Name in the store of a partition of the jobs table, by its index.
 pub fn part_name(index: u64) -> String {
     format!("{index:02x}")
 }
 
-/// The part of a job's rows.
+/// Name of the partition of a job's rows.
 pub fn job_part(id: JobId) -> String {
     part_name(job_part_index(id))
 }
 
-/// Key of a submitted job.
+/// Key of the row of a submitted job.
 pub fn job_key(id: JobId) -> Key {
     Key::new(JOBS, &job_part(id), &id.to_string())
 }
 
-/// Key of a cancellation.
+/// Key of the row that cancels a job.
 pub fn cancel_key(id: JobId) -> Key {
-    Key::new(JOBS, &job_part(id), &format!("{id}{CANCEL}"))
+    Key::new(JOBS, &job_part(id), &format!("{id}{CANCEL_SUFFIX}"))
 }
 
-/// Key of a job's progress.
+/// Key of the row of a job's progress.
 pub fn progress_key(id: JobId) -> Key {
     Key::new(PROGRESS, &Part::of(id).name(), &id.to_string())
 }
 
-/// Key of the row that names the scheduler.
+/// Key of the row that names the leader.
 pub fn holder_key() -> Key {
     Key::new(OFFICE, CELL, "holder")
 }
 
-/// Key of the scheduler's sign of life.
+/// Key of the leader's heartbeat.
 pub fn beat_key() -> Key {
     Key::new(OFFICE, CELL, "beat")
 }
 
-/// Key of the row that says which scheduler may store progress in a part.
+/// Key of the row with the fencing token of a partition.
 pub fn fence_key(part: Part) -> Key {
     Key::new(OFFICE, &part.name(), "fence")
 }
 
-/// What a key of the jobs table stands for.
+/// Meaning of a key of the jobs table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKey {
-    /// A job.
+    /// Row of a submitted job.
     Job(JobId),
-    /// A cancellation.
+    /// Row that cancels a job.
     Cancel(JobId),
 }
 
-/// Reads a key of the jobs table; none if it is neither.
+/// Parses a key of the jobs table; none if it is invalid.
 pub fn job_of(key: &str) -> Option<JobKey> {
-    match key.strip_suffix(CANCEL) {
+    match key.strip_suffix(CANCEL_SUFFIX) {
         Some(id) => id.parse().ok().map(JobKey::Cancel),
         None => key.parse().ok().map(JobKey::Job),
     }
--- a/tests/common/narrow.rs
+++ b/tests/common/narrow.rs
@@ -1,5 +1,5 @@
-//! A link of few bytes a second in front of a server: what the server sends shares the link's
-//! rate among all open connections, as on a small instance's network link.
+//! A proxy of limited bandwidth in front of a server. All open connections share its rate towards
+//! the clients, as on the network link of a small instance.
 
 #![allow(dead_code)]
 
@@ -11,44 +11,44 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Bytes that go over the link in one go: connections take turns after as many.
+/// Bytes sent for one connection before the next one's turn.
 const CHUNK: usize = 2_048;
 
-/// A link to a server; its connections end when it is dropped.
+/// A link to a server.
 pub struct Link {
-    /// Where clients reach the server over the link.
+    /// Address at which clients reach the server over the link.
     pub addr: SocketAddr,
-    serves: Option<JoinHandle<()>>,
+    task: Option<JoinHandle<()>>,
 }
 
-/// When the link is free again.
-type Turn = Arc<Mutex<Instant>>;
+/// Time at which the link is free again.
+type FreeAt = Arc<Mutex<Instant>>;
 
-/// Waits until `len` more bytes have passed at `rate` bytes a second.
-async fn pass(turn: &Turn, len: usize, rate: usize) {
+/// Waits until `len` more bytes have been sent at `rate` bytes a second.
+async fn throttle(free_at: &FreeAt, len: usize, rate: usize) {
     let until = {
-        let mut free = turn.lock().unwrap();
-        let taken = Duration::from_secs_f64(len as f64 / rate as f64);
-        *free = (*free).max(Instant::now()) + taken;
+        let mut free = free_at.lock().unwrap();
+        let duration = Duration::from_secs_f64(len as f64 / rate as f64);
+        *free = (*free).max(Instant::now()) + duration;
         *free
     };
     task::sleep(until.saturating_duration_since(Instant::now())).await;
 }
 
-async fn down(mut from: TcpStream, mut to: TcpStream, turn: Turn, rate: usize) {
+async fn copy_down(mut from: TcpStream, mut to: TcpStream, free_at: FreeAt, rate: usize) {
     let mut buf = [0; CHUNK];
     while let Ok(len @ 1..) = from.read(&mut buf).await {
-        pass(&turn, len, rate).await;
+        throttle(&free_at, len, rate).await;
         if to.write_all(&buf[..len]).await.is_err() {
             return;
         }
     }
 }
 
-async fn connection(client: TcpStream, server: SocketAddr, turn: Turn, rate: usize) {
+async fn serve_connection(client: TcpStream, server: SocketAddr, free_at: FreeAt, rate: usize) {
     let Ok(upstream) = TcpStream::connect(server).await else { return };
     let up = async_std::io::copy(client.clone(), upstream.clone());
-    let down = down(upstream, client, turn, rate);
+    let down = copy_down(upstream, client, free_at, rate);
     futures::future::select(Box::pin(up), Box::pin(down)).await;
 }
 
@@ -57,20 +57,20 @@
     pub async fn open(server: SocketAddr, rate: usize) -> Self {
         let addr = free_addr();
         let listener = TcpListener::bind(addr).await.expect("the link's address is free");
-        let turn: Turn = Arc::new(Mutex::new(Instant::now()));
-        let serves = task::spawn(async move {
+        let free_at: FreeAt = Arc::new(Mutex::new(Instant::now()));
+        let task = task::spawn(async move {
             let mut open = Vec::new();
             while let Ok((client, _)) = listener.accept().await {
-                open.push(task::spawn(connection(client, server, turn.clone(), rate)));
+                open.push(task::spawn(serve_connection(client, server, free_at.clone(), rate)));
             }
         });
-        Self { addr, serves: Some(serves) }
+        Self { addr, task: Some(task) }
     }
 
-    /// Closes the link.
+    /// Stops accepting connections over the link.
     pub async fn close(mut self) {
-        if let Some(serves) = self.serves.take() {
-            serves.cancel().await;
+        if let Some(task) = self.task.take() {
+            task.cancel().await;
         }
     }
 }
--- a/tests/common/ports.rs
+++ b/tests/common/ports.rs
@@ -4,16 +4,16 @@
 
 use std::net::SocketAddr;
 
-/// First port handed out: below the range from which the system takes ports of outgoing
-/// connections, one of which could otherwise sit on a port before its listener is bound.
+/// First port used. The range lies below the ephemeral ports of the system: otherwise an outgoing
+/// connection could occupy a port before its listener is bound.
 const FIRST_PORT: u16 = 10_000;
 
-/// Ports handed out, per test process; test processes start at different places.
+/// Number of ports used by a test process; each process starts at a different offset.
 const PORTS: u16 = 20_000;
 
 static NEXT_PORT: std::sync::atomic::AtomicU16 = std::sync::atomic::AtomicU16::new(0);
 
-/// A free loopback address that no other test of this process has been given.
+/// Returns a free loopback address that no other test of this process uses.
 pub fn free_addr() -> SocketAddr {
     let start = (std::process::id() as u16).wrapping_mul(101) % PORTS;
     for _ in 0..PORTS {
