--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -1,4 +1,4 @@
-//! Instances that are too small to take the office: what they know, and what they answer.
+//! Instances that are too small to become leader: what they cache, and what they answer.
 
 mod common {
     pub mod narrow;
@@ -10,7 +10,7 @@
 use async_std::task;
 use common::narrow::Link;
 use common::table::Table as Rows;
-use common::users::{Cell, Mood};
+use common::users::{Cell, StoreMode};
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobSpec, JobState, Step};
 use currantgw::control::ports::{Changes, Commit, CommitError, Page, ReadError, Store, Txn};
@@ -20,13 +20,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Jobs that wait in the store.
+/// Number of jobs that wait in the store.
 const JOBS: u64 = 1_500;
 
 /// Payload of each, bytes; its row is some 1,600 bytes on the wire.
 const PAYLOAD: usize = 1_000;
 
-/// What all of them take on the wire, bytes.
+/// Size of all of them on the wire, bytes.
 const TABLE: usize = JOBS as usize * 1_600;
 
 /// Share of a processor of a small instance.
@@ -36,25 +36,23 @@
     (1..=JOBS).map(|n| JobId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect()
 }
 
-/// A cell of one large instance, where `JOBS` wait.
+/// A cell of one large instance and no runners, with [`JOBS`] waiting jobs.
 async fn backlog() -> Cell {
     let cell = Cell::start(1, 0, 0).await;
-    cell.world.store_jobs("plain", &ids(), PAYLOAD);
-    let known = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
-    cell.wait("all wait", known).await;
+    cell.platform.store_jobs("plain", &ids(), PAYLOAD);
+    let counted = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
+    cell.wait("all jobs are counted", counted).await;
     cell
 }
 
-/// Symptom: after a power loss of all instances callers of the small ones see their jobs done seconds late,
-/// and connections are reset.
-/// Sequence: 45 instances start; each reads 6,500 jobs over a link of 10 Mbit/s, which carries nothing else
-/// meanwhile.
-/// Cause: each kept all jobs, though it needs one row of a job that it is asked for, and will not be
-/// the scheduler.
+/// Guards against small instances that show completed jobs seconds late and reset connections after
+/// a power loss of all instances. Each of 45 instances read 6,500 jobs over a saturated link of 10
+/// Mbit/s, although one that will not become leader needs only the rows of jobs that it is queried
+/// for.
 #[async_std::test]
 async fn a_small_instance_serves_at_once_and_reads_no_table() {
     let mut cell = backlog().await;
-    // The table would take half a minute.
+    // Reading the table would take half a minute.
     let link = Link::open(cell.store, TABLE / 30).await;
     let began = Instant::now();
     let n = cell.add_sized(link.addr, SMALL);
@@ -63,7 +61,7 @@
     assert_eq!(cell.state(n, "plain", &id).await, "queued");
     assert!(began.elapsed() < Duration::from_millis(1_500), "{:?}", began.elapsed());
     let count = || async { cell.call(n, "GET", "/plain/", "").await.1["pending"] == JOBS };
-    cell.wait("the scheduler's count", count).await;
+    cell.wait("the leader's count", count).await;
     let new = "00000000000000aa";
     assert_eq!(cell.submit(n, "plain", new, 1).await.0, 200);
     assert_eq!(cell.state(n, "plain", new).await, "queued");
@@ -76,16 +74,16 @@
     link.close().await;
 }
 
-/// A job is shown as far as it has come, and can be cancelled, at an instance that keeps no jobs.
+/// An instance that doesn't cache jobs shows the current state of a job, and can cancel it.
 #[async_std::test]
-async fn a_small_instance_shows_what_the_scheduler_stored() {
+async fn a_small_instance_shows_what_the_leader_stored() {
     let mut cell = Cell::start(1, 1, 50).await;
     let n = cell.add_sized(cell.store, SMALL);
     cell.wait("ready", || async { cell.ready(n).await }).await;
     let done = "fc000000000000a1";
     assert_eq!(cell.submit(n, "plain", done, 1).await.0, 200);
     cell.wait_state(n, "plain", done, "completed").await;
-    // Too wide for the runner: it waits until it is cancelled.
+    // More tasks than the runner has capacity for: the job can't complete and is cancelled.
     let waits = "fc000000000000a2";
     assert_eq!(cell.submit(n, "plain", waits, 20).await.0, 200);
     assert_eq!(cell.call(n, "DELETE", &format!("/plain/{waits}"), "").await.0, 200);
@@ -94,9 +92,9 @@
     cell.end().await;
 }
 
-/// Where all larger instances are gone a small one makes ready, and takes the office.
+/// A small instance becomes leader once all larger instances are gone.
 #[async_std::test]
-async fn a_small_instance_takes_the_office_when_nobody_else_does() {
+async fn a_small_instance_becomes_leader_when_no_other_is_left() {
     let mut cell = Cell::start(1, 1, 50).await;
     let n = cell.add_sized(cell.store, SMALL);
     cell.wait("ready", || async { cell.ready(n).await }).await;
@@ -104,7 +102,7 @@
     assert_eq!(cell.submit(n, "plain", before, 1).await.0, 200);
     cell.wait_state(n, "plain", before, "completed").await;
     cell.stop(0).await;
-    // Nobody knows of its jobs but the store.
+    // Only the store still has the job.
     assert_eq!(cell.state(n, "plain", before).await, "completed");
     let after = "fc000000000000a2";
     assert_eq!(cell.submit(n, "plain", after, 1).await.0, 200);
@@ -112,26 +110,26 @@
     cell.end().await;
 }
 
-/// What nobody can tell is refused, and not guessed.
+/// Without the store and a leader, queries get a 503 rather than an answer from incomplete data.
 #[async_std::test]
-async fn a_small_instance_without_store_and_scheduler_answers_503() {
+async fn a_small_instance_without_store_and_leader_answers_503() {
     let mut cell = Cell::start(1, 0, 0).await;
     let n = cell.add_sized(cell.store, SMALL);
     cell.wait("ready", || async { cell.ready(n).await }).await;
     cell.stop(0).await;
-    cell.world.mood(Mood::Silent);
+    cell.platform.set_store_mode(StoreMode::Unresponsive);
     task::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(cell.call(n, "GET", "/plain/fc000000000000a1", "").await.0, 503);
     assert_eq!(cell.call(n, "GET", "/plain/", "").await.0, 503);
-    cell.world.mood(Mood::Well);
+    cell.platform.set_store_mode(StoreMode::Healthy);
     cell.end().await;
 }
 
-/// A store whose feeds answer after 200 ms.
-struct Late(Rows);
+/// A store whose feed answers after 200 ms.
+struct SlowFeed(Rows);
 
 #[tide::utils::async_trait]
-impl Store for Late {
+impl Store for SlowFeed {
     async fn commit(&self, txn: &Txn, ms: u64) -> Result<Commit, CommitError> {
         self.0.commit(txn, ms).await
     }
@@ -153,12 +151,11 @@
     }
 }
 
-/// Symptom: an instance answers for all jobs from a few of them.
-/// Sequence: it asks the feed of the jobs; it drops them, since it is not to take the office; the
-/// feed's answer arrives, and what it says is taken for all there is once jobs are kept again.
-/// Cause: an answer to a question from before.
+/// Guards against an instance that answers for all jobs from a few of them. It drops its cached
+/// jobs while a poll of their feed is in flight. The stale answer must not count as the whole table
+/// once jobs are cached again.
 #[async_std::test]
-async fn an_answer_from_before_jobs_were_dropped_is_not_taken_for_all() {
+async fn a_feed_answer_from_before_jobs_were_dropped_is_ignored() {
     let rows = Rows::default();
     let spec = JobSpec { steps: vec![Step { count: 1, ..Step::default() }], ..JobSpec::default() };
     let row = rows::encode(&JobRow { queue: "q".into(), at: 1, spec });
@@ -167,17 +164,17 @@
     }
     let clock = Clock::real();
     let pulse = Arc::new(Pulse::new(clock.clone()));
-    let mirror = Arc::new(Mirror::new(Arc::new(Late(rows)), pulse, clock));
+    let mirror = Arc::new(Mirror::new(Arc::new(SlowFeed(rows)), pulse, clock));
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert_eq!(mirror.job_count() as u64, JOBS);
-    let asking = {
+    let polling = {
         let mirror = mirror.clone();
         task::spawn(async move { mirror.poll(Table::Jobs, 0).await })
     };
     task::sleep(Duration::from_millis(50)).await;
-    mirror.keep_jobs(false);
-    mirror.keep_jobs(true);
-    let _ = asking.await;
+    mirror.set_cache_jobs(false);
+    mirror.set_cache_jobs(true);
+    let _ = polling.await;
     assert_eq!(mirror.followed(Table::Jobs), None);
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert_eq!(mirror.job_count() as u64, JOBS);
--- a/tests/control_views.rs
+++ b/tests/control_views.rs
@@ -1,5 +1,5 @@
-//! What an instance answers before it knows what the others know, and how it comes to know it over
-//! a link that carries little.
+//! Answers of an instance that has not read all jobs yet, and reading them over a link of low
+//! bandwidth.
 
 mod common {
     pub mod narrow;
@@ -13,8 +13,8 @@
 use async_std::task;
 use common::narrow::Link;
 use common::ports;
-use common::users::{Cell, Mood};
-use currantgw::control::mirror::reading::Pace;
+use common::users::{Cell, StoreMode};
+use currantgw::control::mirror::reading::SliceSizer;
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobState};
 use currantgw::control::pulse::Pulse;
@@ -27,36 +27,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Jobs that wait in the store.
+/// Number of jobs that wait in the store.
 const JOBS: u64 = 1_500;
 
 /// Payload of each, bytes; its row is some 1,600 bytes on the wire.
 const PAYLOAD: usize = 1_000;
 
-/// What all of them take on the wire, bytes.
+/// Size of all of them on the wire, bytes.
 const TABLE: usize = JOBS as usize * 1_600;
 
-/// Ids spread over all parts.
+/// Ids spread over all partitions.
 fn ids(count: u64) -> Vec<JobId> {
     (1..=count).map(|n| JobId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect()
 }
 
-/// A cell of one instance without runners, where `JOBS` wait.
+/// A cell of one instance and no runners, with [`JOBS`] waiting jobs.
 async fn backlog() -> Cell {
     let cell = Cell::start(1, 0, 0).await;
-    cell.world.store_jobs("plain", &ids(JOBS), PAYLOAD);
+    cell.platform.store_jobs("plain", &ids(JOBS), PAYLOAD);
     let known = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
-    cell.wait("all wait", known).await;
+    cell.wait("all jobs are counted", known).await;
     cell
 }
 
-/// Symptom: a caller is told that 2 jobs of a queue wait, while thousands have waited for seconds.
-/// Sequence: an instance is started again and begins to read what jobs there are, which takes its
-/// link seconds; it takes two new jobs; it is asked how many wait.
-/// Cause: it answered as soon as it had the catalogue, from the jobs that it had met so far. In the
-/// evidence that instance had never logged that it had read the jobs, and the count was its own two.
+/// Guards against an answer that 2 jobs of a queue wait while thousands have waited for seconds. A
+/// restarted instance, whose link takes seconds to read all jobs, accepted two new jobs. It
+/// answered counts as soon as it had the catalogue, from the jobs that it had so far: its log had
+/// no line that the jobs table was read, and the count was its own two jobs.
 #[async_std::test]
-async fn no_count_is_given_before_all_jobs_are_known() {
+async fn no_count_is_given_before_all_jobs_are_read() {
     let mut cell = backlog().await;
     let link = Link::open(cell.store, TABLE / 20).await;
     let n = cell.add(link.addr);
@@ -72,49 +71,47 @@
     link.close().await;
 }
 
-/// What was known when the store fell silent is no count of now.
+/// Counts are refused once the data from before the store became unresponsive is too old.
 #[async_std::test]
-async fn no_count_is_given_from_a_view_that_is_old() {
+async fn no_count_is_given_from_outdated_data() {
     let cell = backlog().await;
-    cell.world.mood(Mood::Silent);
+    cell.platform.set_store_mode(StoreMode::Unresponsive);
     task::sleep(Duration::from_millis(2_600)).await;
-    let asked = Instant::now();
+    let sent = Instant::now();
     let (status, body) = cell.call(0, "GET", "/plain/", "").await;
     assert_eq!(status, 503, "{body}");
-    assert!(asked.elapsed() < Duration::from_millis(300), "{:?}", asked.elapsed());
-    cell.world.mood(Mood::Well);
+    assert!(sent.elapsed() < Duration::from_millis(300), "{:?}", sent.elapsed());
+    cell.platform.set_store_mode(StoreMode::Healthy);
     let known = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
     cell.wait("counted again", known).await;
     cell.end().await;
 }
 
-/// Slices of a table come to take some 300 ms on any link, and on a store that answers late they do
-/// not shrink to nothing.
+/// Slices of a table converge to a duration of about 300 ms on any link, and don't shrink because
+/// of the latency of a slow store.
 #[test]
-fn slices_follow_what_the_link_carries() {
+fn slices_adapt_to_the_throughput_of_the_link() {
     let parts = rows::JOB_PARTS as usize;
     for (per_ms, answer_ms, least, most) in
         [(1_250, 5, 200, 400), (125, 5, 200, 400), (1_250, 240, 240, 500), (25_000, 240, 240, 400)]
     {
-        let mut pace = Pace::default();
+        let mut sizer = SliceSizer::default();
         let mut took = 0;
         for _ in 0..12 {
-            let (reads, rows) = pace.ask(parts);
+            let (reads, rows) = sizer.next_reads(parts);
             let bytes = reads * rows * 1_300;
             took = answer_ms + (bytes / per_ms) as u64;
-            pace.read(reads * rows, bytes, took);
+            sizer.record_slice(reads * rows, bytes, took);
         }
         assert!((least..=most).contains(&took), "{per_ms} bytes/ms, {answer_ms} ms: {took} ms");
     }
 }
 
-/// Symptom: small instances that were started again serve nobody for the rest of the day: what they
-/// are sent is neither stored nor looked up in time, and their links are full.
-/// Sequence: thousands of jobs are known; an instance on a link of 10 Mbit/s starts and reads all
-/// parts of their table at once; each answer has to be whole within 900 ms; none is.
-/// Cause: a fixed time for an answer of any size, and all that was read thrown away with the first
-/// part that failed. In the evidence such links brought in all they could for minutes, and memory
-/// did not grow.
+/// Guards against restarted small instances that serve no calls for hours, their links saturated.
+/// With thousands of jobs stored, an instance on a link of 10 Mbit/s read all partitions of their
+/// table at once. No answer completed within the fixed timeout of 900 ms, and everything read was
+/// discarded with the first partition that failed: links were at full rate for minutes, and memory
+/// didn't grow.
 #[async_std::test]
 async fn a_small_link_reads_all_jobs_and_serves_meanwhile() {
     let mut cell = backlog().await;
@@ -122,26 +119,28 @@
     let n = cell.add(link.addr);
     cell.wait("ready", || async { cell.ready(n).await }).await;
     let began = Instant::now();
-    let mut taken = 0;
+    let mut accepted = 0;
     while cell.call(n, "GET", "/plain/", "").await.1["pending"].as_u64() < Some(JOBS) {
-        assert!(began.elapsed() < Duration::from_secs(16), "four times the table's own time");
-        let id = format!("000000000000{taken:04x}");
+        assert!(
+            began.elapsed() < Duration::from_secs(16),
+            "four times the transfer time of the table"
+        );
+        let id = format!("000000000000{accepted:04x}");
         let sent = Instant::now();
         assert_eq!(cell.submit(n, "plain", &id, 1).await.0, 200, "after {:?}", began.elapsed());
         assert!(sent.elapsed() < Duration::from_millis(1_000), "{:?}", sent.elapsed());
-        taken += 1;
+        accepted += 1;
         task::sleep(Duration::from_millis(100)).await;
     }
     cell.end().await;
     link.close().await;
 }
 
-/// Symptom: a job that is over is shown as waiting.
-/// Sequence: a job is done; another instance starts, and is asked for the job before it has read how
-/// far jobs have come; it finds the job in the store.
-/// Cause: it looked up only whether the job exists, and took what it did not know for "waits".
+/// Guards against a completed job being shown as queued. A starting instance that has not read the
+/// progress table reads a queried job from the store. It read only the job's own row, and a job
+/// without progress counts as queued.
 #[async_std::test]
-async fn a_job_found_in_the_store_is_shown_as_far_as_it_has_come() {
+async fn a_job_found_in_the_store_is_shown_with_its_state() {
     let cell = Cell::start(1, 1, 50).await;
     let done = "fc000000000000a1";
     assert_eq!(cell.submit(0, "plain", done, 1).await.0, 200);
@@ -154,9 +153,8 @@
     cell.end().await;
 }
 
-/// Symptom: an instance that is told to stop is killed when its time is up.
-/// Sequence: it is told to stop before it has read how far jobs have come.
-/// Cause: until then it did not look whether it was to stop.
+/// Guards against an instance that is killed at the end of its grace period. Told to stop before it
+/// had read the progress of jobs, it didn't check for the stop until then.
 #[async_std::test]
 async fn an_instance_that_still_reads_stops_when_told() {
     let mut cell = backlog().await;
@@ -169,10 +167,9 @@
     link.close().await;
 }
 
-/// Symptom: an instance that was cut off for seconds never hears of changes again.
-/// Sequence: more changes wait for it than its link carries in the time that a feed's answer has; it
-/// asks again, for more than before.
-/// Cause: that of the tables read on a small link, in the feed.
+/// Guards against an instance that gets no changes any more after it was cut off for seconds. The
+/// changes were more than its link transfers within the timeout of a poll, and each further poll
+/// asked for even more.
 #[async_std::test]
 async fn a_small_link_catches_up_with_the_feed() {
     let cell = Cell::empty().await;
@@ -181,24 +178,24 @@
     let store = Arc::new(RowStore::new(Conns::new(clock.clone()), link.addr));
     let mirror = Mirror::new(store, Arc::new(Pulse::new(clock.clone())), clock);
     mirror.poll(Table::Jobs, 0).await.unwrap();
-    cell.world.store_jobs("plain", &ids(JOBS), PAYLOAD);
+    cell.platform.store_jobs("plain", &ids(JOBS), PAYLOAD);
     let began = Instant::now();
     while mirror.job_count() < JOBS as usize {
-        assert!(began.elapsed() < Duration::from_secs(12), "{} known", mirror.job_count());
+        assert!(began.elapsed() < Duration::from_secs(12), "{} jobs read", mirror.job_count());
         let _ = mirror.poll(Table::Jobs, 0).await;
     }
     cell.end().await;
     link.close().await;
 }
 
-/// A server that sends a body in `pieces`, one every `pause_ms`, of `length` announced.
-async fn dribbles(pieces: usize, pause_ms: u64, length: usize) -> SocketAddr {
+/// A server that sends `pieces` bytes of a body, one every `pause_ms`, and announces `length`.
+async fn slow_server(pieces: usize, pause_ms: u64, length: usize) -> SocketAddr {
     let addr = ports::free_addr();
     let listener = TcpListener::bind(addr).await.unwrap();
     task::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let mut asked = [0; 1_024];
-        let _ = stream.read(&mut asked).await;
+        let mut request = [0; 1_024];
+        let _ = stream.read(&mut request).await;
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
         let _ = stream.write_all(head.as_bytes()).await;
         for _ in 0..pieces {
@@ -210,16 +207,16 @@
     addr
 }
 
-/// An answer that keeps arriving is waited for; one that stops arriving is given up.
+/// An answer that keeps arriving is waited for; one that stalls times out.
 #[async_std::test]
-async fn an_answer_is_given_up_when_it_stands_still() {
+async fn an_answer_times_out_when_it_stalls() {
     let conns = Conns::new(Clock::real());
-    let slow = dribbles(8, 150, 8).await;
+    let slow = slow_server(8, 150, 8).await;
     let reply = conns.fetch(slow, "/", 1_000).await.unwrap();
     assert_eq!(reply.body.len(), 8);
-    let stops = dribbles(3, 150, 8).await;
+    let stalled = slow_server(3, 150, 8).await;
     let began = Instant::now();
-    let given_up = conns.fetch(stops, "/", 1_000).await;
-    assert_eq!(given_up.unwrap_err(), CallError::Timeout);
+    let timed_out = conns.fetch(stalled, "/", 1_000).await;
+    assert_eq!(timed_out.unwrap_err(), CallError::Timeout);
     assert!(began.elapsed() < Duration::from_millis(3_000), "{:?}", began.elapsed());
 }
