--- a/src/control/crashes.rs
+++ b/src/control/crashes.rs
@@ -1,88 +1,92 @@
-//! Tells tasks that crash their runners from tasks whose runners crash by themselves, without I/O.
+//! Crash-loop detection: separates tasks that crash their runners from tasks whose runners crash
+//! for other reasons. No I/O.
 //!
-//! A run that is lost with its runner may have caused the crash, as may each run beside it. How often runs
-//! are lost by chance is measured over all runs of the cell: a task is in a crash loop if chance does
-//! not explain its losses, or if there are too many of them in any case. Without the second a
-//! task that crashes its runners late would take one runner after the other out of service; without
-//! the first each such task costs a few runners more, and what ran beside it.
+//! A run that is lost with its runner may have caused the crash, and so may each run beside it. The
+//! rate of losses by chance is estimated over all runs of the cell. A task is in a crash loop if
+//! chance does not explain its losses, or if it has too many of them in any case. Without the limit
+//! on the count, a task that crashes its runners late in its run would take one runner after the
+//! other out of service. Without the test against chance, each such task would cost a few more
+//! runners and the runs beside it.
 
 use super::engine::RunnerKey;
 use super::model::Attempt;
 
-/// Losses with which a task is in a crash loop whatever their chance: the platform allows two more starts
-/// after the third.
-const MOST_LOSSES: u32 = 5;
+/// Number of losses that make a crash loop whatever their chance. The platform allows two more
+/// starts after the third.
+const MAX_LOSSES: u32 = 5;
 
-/// From here on each run that ends otherwise than done counts as a loss, since it has been a start.
-const COUNT_ALL: u32 = 3;
+/// From this number of losses on, each run that ends otherwise than done counts as a loss, since it
+/// has used up a start.
+const COUNT_ALL_FROM: u32 = 3;
 
-/// Fewest losses of a crash loop.
-const FEWEST_LOSSES: u32 = 2;
+/// Minimum number of losses of a crash loop.
+const MIN_LOSSES: u32 = 2;
 
-/// Losses less likely than this are no chance: well under one in all tasks of a day.
-const LEAST_CHANCE: f64 = 1e-6;
+/// Losses less likely than this are not attributed to chance: well under one false positive in all
+/// tasks of a day.
+const CHANCE_THRESHOLD: f64 = 1e-6;
 
-/// Losses are forgotten once a run has lasted for this long, ms.
+/// Losses are reset once a run has lasted for this long, ms.
 pub const STABLE_MS: u64 = 30_000;
 
-/// Time after which a loss or a run counts half in the rate, ms.
+/// Half-life of losses and run times in the loss rate, ms.
 const HALF_LIFE_MS: f64 = 30_000.0;
 
-/// When a run began and when its runner fell silent are known no better than this, ms: answers wait for a
-/// planning round.
+/// Resolution of the start of a run and of the loss of its runner, ms: answers wait for a planning
+/// round.
 const RESOLUTION_MS: u64 = 50;
 
-/// Time of runs, ms, with one loss in it, that the rate begins with.
+/// Prior of the loss rate: one loss in this much run time, ms.
 const PRIOR_MS: f64 = 100_000.0;
 
-/// How often runs are lost with their runners, weighted by how recent they are.
+/// Rate at which runs are lost with their runners; recent runs have more weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LossRate {
     losses: f64,
-    /// Time that runs took, lost or not, ms.
+    /// Total time of runs, lost or not, ms.
     ran_ms: f64,
-    /// When the sums were last brought up to date, local ms.
+    /// When the sums were last decayed, local ms.
     at: u64,
 }
 
 impl LossRate {
-    /// A run ended after `ran` ms.
+    /// Records a run that ended after `ran` ms.
     pub fn ended(&mut self, ran: u64, now: u64) {
         self.decay(now);
         self.ran_ms += ran as f64;
     }
 
-    /// A run was lost with its runner after `ran` ms.
+    /// Records a run that was lost with its runner after `ran` ms.
     pub fn lost(&mut self, ran: u64, now: u64) {
         self.ended(ran, now);
         self.losses += 1.0;
     }
 
     fn decay(&mut self, now: u64) {
-        let past = now.saturating_sub(self.at) as f64;
-        let share = 0.5_f64.powf(past / HALF_LIFE_MS);
-        self.losses *= share;
-        self.ran_ms *= share;
+        let elapsed = now.saturating_sub(self.at) as f64;
+        let factor = 0.5_f64.powf(elapsed / HALF_LIFE_MS);
+        self.losses *= factor;
+        self.ran_ms *= factor;
         self.at = now;
     }
 
-    /// Chance that a run is lost within its first `ran` ms.
+    /// Probability that a run is lost by chance within its first `ran` ms.
     pub fn chance(&self, ran: u64) -> f64 {
         let rate = (self.losses + 1.0) / (self.ran_ms + PRIOR_MS);
         -(-rate * ran.max(RESOLUTION_MS) as f64).exp_m1()
     }
 }
 
-/// Losses in a row of one task.
+/// Consecutive losses of one task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Losses {
-    /// How many.
+    /// Number of losses.
     pub count: u32,
-    /// Chance that all of them had other causes.
+    /// Probability that all of them had other causes.
     pub chance: f64,
-    /// Attempt that was lost last.
+    /// Attempt of the latest loss.
     last: Attempt,
-    /// Life of a runner that was lost last, if this process has seen it.
+    /// Runner incarnation of the latest loss, if this process has seen it.
     pub life: Option<RunnerKey>,
 }
 
@@ -93,12 +97,13 @@
 }
 
 impl Losses {
-    /// `count` losses of which nothing else is known.
+    /// `count` losses with no further details, for example from a stored row.
     pub fn of(count: u32) -> Self {
         Self { count, chance: 1.0, last: Attempt::default(), life: None }
     }
 
-    /// An attempt was lost with `life`, which happens by chance with `chance`.
+    /// Records the loss of an attempt with the incarnation `life`; `chance` is the probability that
+    /// it had another cause.
     pub fn add(&mut self, attempt: Attempt, life: RunnerKey, chance: f64) {
         self.count += 1;
         self.chance *= chance;
@@ -106,15 +111,15 @@
         self.life = Some(life);
     }
 
-    /// An attempt ended otherwise than done.
+    /// Records an attempt that ended otherwise than done.
     pub fn ended(&mut self, attempt: Attempt) {
-        if self.count >= COUNT_ALL {
+        if self.count >= COUNT_ALL_FROM {
             self.count += 1;
             self.last = attempt;
         }
     }
 
-    /// The end of an attempt that counted as lost is seen after all.
+    /// Takes a loss back: a completion of the attempt was reported later.
     pub fn withdraw(&mut self, attempt: Attempt) {
         if self.count > 0 && self.last == attempt {
             *self = Self::of(self.count - 1);
@@ -126,18 +131,18 @@
         self.count > 0
     }
 
-    /// Whether it was last lost together with another task.
+    /// Whether the latest loss of both tasks was on the same runner incarnation.
     pub fn lost_together(&self, other: &Self) -> bool {
         self.life.is_some() && self.life == other.life
     }
 
-    /// Whether it was lost more than once.
+    /// Whether it has been lost more than once.
     pub fn repeated(&self) -> bool {
-        self.count >= FEWEST_LOSSES
+        self.count >= MIN_LOSSES
     }
 
-    /// Whether the task crashes its runners.
+    /// Whether the task is in a crash loop.
     pub fn crash_loop(&self) -> bool {
-        self.count >= MOST_LOSSES || self.repeated() && self.chance < LEAST_CHANCE
+        self.count >= MAX_LOSSES || self.repeated() && self.chance < CHANCE_THRESHOLD
     }
 }
--- a/src/control/evict.rs
+++ b/src/control/evict.rs
@@ -1,18 +1,19 @@
-//! Which tasks are stopped to make room for a gang, without I/O.
+//! Preemption: chooses the tasks to stop to free capacity for a gang. No I/O.
 //!
-//! The load this answers: wide gangs that few runners may run, on a cell whose room is taken by
-//! narrow tasks that write checkpoints and have time to spare. A gang needs room on several of its
-//! runners at once; waiting until the tasks there end by themselves takes as long as the longest,
-//! while one that is stopped saves its work and goes on elsewhere after a fraction of a second.
+//! Needed for wide gangs that few runners may run, on a cell whose capacity is taken by narrow
+//! tasks that write checkpoints and have time to spare. A gang needs capacity on several of its
+//! runners at once. Waiting until the tasks there complete takes as long as the longest of them,
+//! while a preempted task saves its work and continues on another runner after a fraction of a
+//! second.
 
 use crate::kernel::res::Resources;
 
-/// A task that may be stopped.
+/// A task that may be preempted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Victim<T> {
     /// The task.
     pub id: T,
-    /// Its room.
+    /// Resources that it uses.
     pub need: Resources,
 }
 
@@ -21,45 +22,46 @@
 pub struct Spot<K, T> {
     /// Its key.
     pub key: K,
-    /// Room left.
+    /// Free capacity.
     pub free: Resources,
-    /// Most members that it may take.
+    /// Maximum number of members that it may take.
     pub limit: u32,
-    /// What may be stopped there.
+    /// Tasks that may be preempted there.
     pub victims: Vec<Victim<T>>,
 }
 
-/// Where the members go, and what is stopped for them.
+/// Placement of the members, and the tasks to preempt for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan<K, T> {
     /// A runner for each member.
     pub keys: Vec<K>,
-    /// Tasks to stop, and where.
+    /// Tasks to preempt, each with its runner.
     pub stops: Vec<(K, T)>,
 }
 
 impl<K: Copy + Ord, T: Copy + Ord> Spot<K, T> {
-    /// Positions of the victims that make room for one more member; none if they do not suffice.
-    /// Each is the smallest that is enough, or else the largest, so that few are stopped.
+    /// Indices of the victims to stop to fit one more member; none if stopping all of them is not
+    /// enough. Picks the smallest victim that is enough, or else the largest, so that few are
+    /// stopped.
     fn victims_for(&self, need: &Resources) -> Option<Vec<usize>> {
         let mut picked: Vec<usize> = Vec::new();
         let mut free = self.free;
         while !need.fits(&free) {
             let missing = need.sub(&free);
-            let left = || {
+            let remaining = || {
                 let all = self.victims.iter().enumerate();
                 all.filter(|(i, _)| !picked.contains(i)).map(|(i, v)| (v.need.cpu, v.need.mem, i))
             };
-            let enough = |(_, _, i): &(u64, u64, usize)| missing.fits(&self.victims[*i].need);
-            let (_, _, i) = left().filter(enough).min().or_else(|| left().max())?;
+            let sufficient = |(_, _, i): &(u64, u64, usize)| missing.fits(&self.victims[*i].need);
+            let (_, _, i) = remaining().filter(sufficient).min().or_else(|| remaining().max())?;
             free = free.add(&self.victims[i].need);
             picked.push(i);
         }
         Some(picked)
     }
 
-    /// Takes a member in, for which the victims at `picked` are stopped.
-    fn take(&mut self, need: &Resources, mut picked: Vec<usize>, stops: &mut Vec<(K, T)>) {
+    /// Places a member, for which the victims at the indices `picked` are stopped.
+    fn place_member(&mut self, need: &Resources, mut picked: Vec<usize>, stops: &mut Vec<(K, T)>) {
         picked.sort_unstable_by_key(|i| std::cmp::Reverse(*i));
         for i in picked {
             let v = self.victims.swap_remove(i);
@@ -71,7 +73,8 @@
     }
 }
 
-/// Places all `count` members at the least processor room stopped; none if there is no way.
+/// Places all `count` members so that each step stops as little processor capacity as possible;
+/// none if they do not fit.
 pub fn plan<K: Copy + Ord, T: Copy + Ord>(
     mut spots: Vec<Spot<K, T>>,
     need: &Resources,
@@ -84,10 +87,10 @@
             let stopped: u64 = picked.iter().map(|&i| s.victims[i].need.cpu).sum();
             Some((stopped, s.free.cpu, s.key, picked))
         };
-        let open = spots.iter().enumerate().filter(|(_, s)| s.limit > 0);
-        let ways = open.filter_map(|(i, s)| Some((cost(s)?, i)));
-        let ((_, _, key, picked), i) = ways.min()?;
-        spots[i].take(need, picked, &mut out.stops);
+        let available = spots.iter().enumerate().filter(|(_, s)| s.limit > 0);
+        let candidates = available.filter_map(|(i, s)| Some((cost(s)?, i)));
+        let ((_, _, key, picked), i) = candidates.min()?;
+        spots[i].place_member(need, picked, &mut out.stops);
         out.keys.push(key);
     }
     Some(out)
--- a/src/control/front.rs
+++ b/src/control/front.rs
@@ -1,4 +1,7 @@
-//! What callers see: submitting, cancelling and asking after jobs.
+//! Request handlers of callers: submitting jobs, cancelling them and reading their state.
+//!
+//! Each handler is bounded by the caller's deadline. Without the store it answers from the local
+//! cache and from the leader as far as these suffice, else with an error that says when to retry.
 
 use super::intake::{Intake, Written};
 use super::links::desk::Desk;
@@ -14,46 +17,46 @@
 use tide::http::Method;
 use tide::{Request, Response};
 
-/// Longest body of a request, bytes: a payload of 4,000 bytes and 64 steps with room to spare.
+/// Maximum size of a request body, bytes: enough for a payload of 4,000 bytes and 64 steps.
 const MAX_BODY: usize = 64 * 1024;
 
-/// Wait for the answer of a caller that names no deadline, ms.
+/// Deadline of a caller that sends none, and the longest one that is used, ms.
 const DEADLINE_MS: u64 = 3_000;
 
-/// Kept back of a caller's deadline for the answer's way, ms.
-const ANSWER_MS: u64 = 200;
+/// Part of a caller's deadline that is reserved for the response to reach it, ms.
+const ANSWER_RESERVE_MS: u64 = 200;
 
-/// Longest wait for what is not known here, ms: the catalogue, a job, a count.
-const RENEW_MS: u64 = 1_000;
+/// Timeout of fetching what is not in the local cache, ms: the catalogue, a job, a count.
+const REFRESH_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest wait for the scheduler's answer about a job, ms: several times the way there and back under
-/// load, and short against a caller's patience, since the store can be asked instead.
-const LINK_MS: u64 = 300;
+/// Timeout of a request to the leader about a job, ms: several round trips under load, and short
+/// against the 3 s that a caller waits, since the store can be read instead.
+const LINK_TIMEOUT_MS: u64 = 300;
 
-/// A count of waiting jobs is given from what was known to be true this long ago at most, ms: the
-/// interface's own bound.
-const COUNT_AGE_MS: u64 = 2_000;
+/// Maximum age of the data that a count of waiting jobs is based on, ms: the bound of the
+/// interface.
+const MAX_COUNT_AGE_MS: u64 = 2_000;
 
-/// When a caller may come back if the store serves nobody, s. Outages last seconds, and callers
-/// few tries: told to come back sooner they spend all of them within the same outage. A caller in doubt
-/// is told so too, since asking again with the same id is safe.
+/// Value of `Retry-After` while the store serves no instance, s. Outages last seconds and callers
+/// have few tries: with a shorter delay they use all of them up within the same outage. A caller
+/// whose write has an unknown outcome gets the same value, since a retry with the same id is safe.
 const RETRY_AFTER_S: &str = "2";
 
-/// As [`RETRY_AFTER_S`] if only this instance is cut off: at once, over a new connection, which
-/// may lead to an instance that is not.
+/// Value of `Retry-After` if only this instance cannot reach the store, s: at once, over a new
+/// connection, which may lead to an instance that can.
 const RETRY_ELSEWHERE_S: &str = "0";
 
-/// Callers' side of an instance.
+/// State that the request handlers share.
 pub struct Front {
-    /// The instance's mirror.
+    /// The local cache of the store's tables.
     pub mirror: Arc<Mirror>,
-    /// Whether the store answers this process.
+    /// Health of the store, as seen by this process.
     pub pulse: Arc<Pulse>,
-    /// Writers of submissions.
+    /// The submission writer.
     pub intake: Arc<Intake>,
-    /// Links from other instances, while this one is the scheduler's.
+    /// Link server, in use while this instance is the leader.
     pub desk: Arc<Desk>,
-    /// The link to the scheduler.
+    /// Link client, connected to the leader.
     pub peer: Arc<Peer>,
     /// The clock.
     pub clock: Clock,
@@ -70,14 +73,14 @@
     answer(status, callers::error(why))
 }
 
-fn later(status: u16, why: &str) -> Response {
+fn retry_later(status: u16, why: &str) -> Response {
     let mut res = refuse(status, why);
     res.insert_header("Retry-After", RETRY_AFTER_S);
     res
 }
 
-/// Sends a caller that was not served to another instance.
-fn elsewhere(mut res: Response) -> Response {
+/// Directs a caller that got a server error to another instance, over a new connection.
+fn retry_elsewhere(mut res: Response) -> Response {
     if res.status().is_server_error() {
         res.insert_header("Retry-After", RETRY_ELSEWHERE_S);
         res.insert_header("Connection", "close");
@@ -91,7 +94,7 @@
 }
 
 impl Front {
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(&self, mut req: Request<Arc<Self>>) -> Response {
         let began = self.clock.mono();
         let host = req.header("Host").map_or(String::new(), |h| h.as_str().to_string());
@@ -107,16 +110,16 @@
         let rest = &path[queue.prefix.len()..];
         let method = req.method();
         if method == Method::Get && rest.is_empty() {
-            return self.pending(queue, self.left(&req, began)).await;
+            return self.pending(queue, self.remaining_ms(&req, began)).await;
         }
         let Ok(id) = rest.parse::<JobId>() else { return invalid(&Invalid::Id) };
         let res = match method {
             Method::Post => self.submit(&mut req, id, queue, cat.version, began).await,
             Method::Get => self.state(id).await,
-            Method::Delete => self.cancel(id, self.left(&req, began)).await,
+            Method::Delete => self.cancel(id, self.remaining_ms(&req, began)).await,
             _ => refuse(405, "method not allowed"),
         };
-        let res = if self.turned_away() { elsewhere(res) } else { res };
+        let res = if self.store_lost_here() { retry_elsewhere(res) } else { res };
         let ms = self.clock.mono() - began;
         let status: u16 = res.status().into();
         metrics::histogram!("control_answer_seconds", "method" => method.to_string())
@@ -127,37 +130,38 @@
         res
     }
 
-    /// The catalogue to judge a request by: read anew if it does not know the queue.
+    /// The catalogue for a request; read again from the store if the cached one has no queue for
+    /// it.
     async fn catalogue_for(&self, host: &str, path: &str) -> Result<Arc<Catalogue>, Response> {
         let cat = self.mirror.catalogue();
         if cat.version > 0 && cat.find(host, path).is_some() {
             return Ok(cat);
         }
-        // Only a catalogue just read may say that a queue does not exist.
+        // Only a catalogue that was just read can show that a queue does not exist.
         let now = self.clock.mono();
-        match self.clock.timeout(RENEW_MS, self.mirror.renew(Table::Config, now)).await {
+        match self.clock.timeout(REFRESH_TIMEOUT_MS, self.mirror.renew(Table::Config, now)).await {
             Ok(Ok(())) if self.mirror.catalogue().version > 0 => Ok(self.mirror.catalogue()),
-            _ => Err(later(503, "the catalogue cannot be read")),
+            _ => Err(retry_later(503, "the catalogue cannot be read")),
         }
     }
 
-    /// Time left to answer a request, ms.
-    fn left(&self, req: &Request<Arc<Self>>, began: u64) -> u64 {
-        let given = req.header(callers::DEADLINE_HEADER).and_then(|h| h.as_str().parse().ok());
-        let end = began + given.unwrap_or(DEADLINE_MS).min(DEADLINE_MS);
-        end.saturating_sub(self.clock.mono() + ANSWER_MS)
+    /// Time that remains to answer a request, ms.
+    fn remaining_ms(&self, req: &Request<Arc<Self>>, began: u64) -> u64 {
+        let requested = req.header(callers::DEADLINE_HEADER).and_then(|h| h.as_str().parse().ok());
+        let end = began + requested.unwrap_or(DEADLINE_MS).min(DEADLINE_MS);
+        end.saturating_sub(self.clock.mono() + ANSWER_RESERVE_MS)
     }
 
-    /// How many jobs of a queue wait; refused where not all of them are known.
+    /// Answers with the number of waiting jobs of a queue; an error if not all of them are known.
     async fn pending(&self, queue: &Queue, ms: u64) -> Response {
-        let counted = self.clock.timeout(ms.min(RENEW_MS), self.count(queue)).await;
+        let counted = self.clock.timeout(ms.min(REFRESH_TIMEOUT_MS), self.count(queue)).await;
         let Ok(Some(count)) = counted else {
             log::info!(queue = queue.name, jobs = self.mirror.job_count(),
                 jobs_age_ms:? = self.mirror.age(Table::Jobs),
                 progress_age_ms:? = self.mirror.age(Table::Progress);
                 "waiting jobs not counted: not all are known");
-            let res = later(503, "not all waiting jobs are known here");
-            return if self.silent_for_all() { res } else { elsewhere(res) };
+            let res = retry_later(503, "not all waiting jobs are known here");
+            return if self.store_lost_everywhere() { res } else { retry_elsewhere(res) };
         };
         log::info!(queue = queue.name, waiting = count, jobs = self.mirror.job_count(),
             jobs_age_ms:? = self.mirror.age(Table::Jobs),
@@ -194,7 +198,7 @@
             return answer(200, callers::state(JobState::Queued));
         }
         let row = JobRow { queue: queue.name.clone(), at: self.clock.wall(), spec };
-        let out = self.intake.submit(id, &row, self.left(req, began)).await;
+        let out = self.intake.submit(id, &row, self.remaining_ms(req, began)).await;
         let ms = self.clock.mono() - began;
         log::info!(job:% = id, queue = queue.name, steps = row.spec.steps.len(),
             catalogue = version, out:? = out, ms = ms; "job submitted");
@@ -205,75 +209,78 @@
                 answer(200, callers::state(JobState::Queued))
             }
             Written::Known => answer(200, callers::state(JobState::Queued)),
-            Written::NotStored => later(503, "not accepted: the store cannot be written"),
-            Written::Unknown => later(504, "it is not known whether the job was stored"),
+            Written::NotStored => retry_later(503, "not accepted: the store cannot be written"),
+            Written::Unknown => retry_later(504, "it is not known whether the job was stored"),
         }
     }
 
-    /// How far a job has come, where the scheduler knows.
-    async fn ask_state(&self, id: JobId) -> Option<JobState> {
+    /// The state of a job according to the leader; none if the leader has no entry or is not
+    /// reachable.
+    async fn state_from_leader(&self, id: JobId) -> Option<JobState> {
         match self.peer.fresh() {
-            true => self.peer.find(id, LINK_MS).await,
+            true => self.peer.find(id, LINK_TIMEOUT_MS).await,
             false => None,
         }
     }
 
-    /// Number of waiting jobs of a queue where all are known: here, or to the scheduler.
+    /// Number of waiting jobs of a queue, from the local cache if it holds all jobs, else from the
+    /// leader.
     async fn count(&self, queue: &Queue) -> Option<u64> {
         if self.mirror.keeps_jobs() {
-            let all = self.mirror.up_to_date(COUNT_AGE_MS).await;
+            let all = self.mirror.up_to_date(MAX_COUNT_AGE_MS).await;
             return all.then(|| self.mirror.pending(&queue.name));
         }
         match self.peer.fresh() {
-            true => self.peer.count(&queue.name, RENEW_MS).await,
+            true => self.peer.count(&queue.name, REFRESH_TIMEOUT_MS).await,
             false => None,
         }
     }
 
-    /// Finds out whether a job exists; an error answer if that cannot be told.
-    async fn known(&self, id: JobId) -> Result<Option<JobState>, Response> {
+    /// State of a job, none if it does not exist; an error response if that cannot be determined.
+    async fn find_state(&self, id: JobId) -> Result<Option<JobState>, Response> {
         if self.mirror.knows_state(id) {
             return Ok(self.mirror.job_state(id));
         }
-        // One that the scheduler does not know may still have been stored: only the store says no.
-        if let Some(state) = self.ask_state(id).await {
+        // A job that the leader does not list may still have been stored: only the store can show
+        // that it does not exist.
+        if let Some(state) = self.state_from_leader(id).await {
             return Ok(Some(state));
         }
         if self.pulse.silent() {
-            log::info!(job:% = id; "unknown job, and the store is silent");
-            return Err(later(503, "the store cannot be read"));
+            log::info!(job:% = id; "unknown job, and the store is unavailable");
+            return Err(retry_later(503, "the store cannot be read"));
         }
-        let found = self.clock.timeout(RENEW_MS, self.mirror.find_job(id)).await;
-        match found.unwrap_or_else(|_| Err(ReadError::Unreachable("not found in time".into()))) {
+        let found = self.clock.timeout(REFRESH_TIMEOUT_MS, self.mirror.find_job(id)).await;
+        match found.unwrap_or_else(|_| Err(ReadError::Unreachable("timed out".into()))) {
             Ok(state) => Ok(state),
             Err(e) => {
                 log::warn!(job:% = id, why:% = e; "job cannot be looked up");
-                Err(later(503, "the store cannot be read"))
+                Err(retry_later(503, "the store cannot be read"))
             }
         }
     }
 
-    /// Whether the store is silent towards this instance alone, as far as is known: another one
-    /// may serve its callers.
-    fn turned_away(&self) -> bool {
-        self.pulse.silent() && !self.silent_for_all()
+    /// Whether the store is unavailable to this instance alone, as far as is known, so that another
+    /// instance may serve its callers.
+    fn store_lost_here(&self) -> bool {
+        self.pulse.silent() && !self.store_lost_everywhere()
     }
 
-    /// Whether other instances say that the store is silent towards them, too.
-    fn silent_for_all(&self) -> bool {
+    /// Whether other instances have reported that they cannot reach the store either.
+    fn store_lost_everywhere(&self) -> bool {
         self.peer.deaf() || self.desk.deaf()
     }
 
-    /// Whether nothing new can be known here: neither the store nor the scheduler is heard of.
+    /// Whether this instance gets no new data: it can reach neither the store nor the leader.
     fn isolated(&self) -> bool {
         self.pulse.silent() && !self.peer.fresh()
     }
 
     async fn state(&self, id: JobId) -> Response {
-        match self.known(id).await {
-            // Another instance may know better; the caller comes to it over a new connection.
+        match self.find_state(id).await {
+            // Another instance may have a newer state; the caller reaches it over a new connection.
             Ok(Some(s)) if !s.ended() && self.isolated() => {
-                later(503, "the state of the job cannot be read")
+                retry_later(503, "the state of the job cannot be read")
             }
             Ok(Some(s)) => answer(200, callers::state(s)),
             Ok(None) => refuse(410, "no such job"),
@@ -282,7 +289,7 @@
     }
 
     async fn cancel(&self, id: JobId, ms: u64) -> Response {
-        match self.known(id).await {
+        match self.find_state(id).await {
             Ok(Some(s)) if s.ended() => return answer(200, callers::state(s)),
             Ok(Some(_)) => {}
             Ok(None) => return refuse(410, "no such job"),
@@ -296,8 +303,8 @@
                 self.mirror.put_cancel(id);
                 answer(200, callers::state(JobState::Cancelled))
             }
-            Written::NotStored => later(503, "not cancelled: the store cannot be written"),
-            Written::Unknown => later(504, "it is not known whether the job was cancelled"),
+            Written::NotStored => retry_later(503, "not cancelled: the store cannot be written"),
+            Written::Unknown => retry_later(504, "it is not known whether the job was cancelled"),
         }
     }
 }
--- a/src/control/health.rs
+++ b/src/control/health.rs
@@ -1,4 +1,5 @@
-//! Dependencies lost and regained: one log line at each change, however often calls fail.
+//! Availability of dependencies: one log line when a dependency is lost and one when it is
+//! regained, however many calls fail in between.
 
 use crate::kernel::clock::Clock;
 use std::sync::Mutex;
@@ -18,12 +19,12 @@
 }
 
 impl Dependency {
-    /// A dependency that works as far as is known.
+    /// A dependency that counts as available until a call fails.
     pub fn new(name: impl Into<String>, clock: Clock) -> Self {
         Self { name: name.into(), clock, lost: Mutex::default() }
     }
 
-    /// Whether it is lost.
+    /// Whether the last call failed.
     pub fn lost(&self) -> bool {
         self.lost.lock().unwrap().is_some()
     }
@@ -33,7 +34,7 @@
         &self.name
     }
 
-    /// A call succeeded.
+    /// Records a successful call; logs the recovery if the dependency was lost.
     pub fn works(&self) {
         if let Some(loss) = self.lost.lock().unwrap().take() {
             let ms = self.clock.mono().saturating_sub(loss.since);
@@ -42,20 +43,20 @@
         }
     }
 
-    /// A call failed.
-    pub fn fails(&self, why: &dyn std::fmt::Display) {
+    /// Records a failed call; logs the loss if the dependency was available.
+    pub fn fails(&self, error: &dyn std::fmt::Display) {
         metrics::counter!("control_failed_calls", "dependency" => self.name.clone()).increment(1);
         let mut lost = self.lost.lock().unwrap();
         match lost.as_mut() {
             Some(loss) => loss.calls += 1,
             None => {
                 *lost = Some(Loss { since: self.clock.mono(), calls: 1 });
-                log::warn!(dependency = self.name, why:% = why; "dependency lost");
+                log::warn!(dependency = self.name, why:% = error; "dependency lost");
             }
         }
     }
 
-    /// Notes how a call ended.
+    /// Records the outcome of a call.
     pub fn note<T, E: std::fmt::Display>(&self, res: &Result<T, E>) {
         match res {
             Ok(_) => self.works(),
--- a/src/control/intake.rs
+++ b/src/control/intake.rs
@@ -1,8 +1,9 @@
-//! Writing submissions and cancellations to the store, in groups.
+//! Submission writer: writes submissions and cancellations to the store, in batches.
 //!
-//! One writer for each part of the jobs table has one transaction on its way and puts into the
-//! next whatever came meanwhile: a store that answers in 240 ms costs latency and not throughput.
-//! An instance that the store turns away has the scheduler's instance write for it.
+//! Each partition of the jobs table has one writer with one transaction under way; requests that
+//! arrive meanwhile go into the next transaction. A store that answers in 240 ms then costs latency
+//! and not throughput. An instance that cannot reach the store relays its writes to the instance of
+//! the leader.
 
 use super::health::Dependency;
 use super::links::peer::Peer;
@@ -18,41 +19,41 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Most writes of one transaction; the store takes 100 entries, and a new row needs two.
-const GROUP: usize = 45;
+/// Maximum number of writes in one transaction: the store takes 100 entries, and a new row needs
+/// two.
+const MAX_BATCH: usize = 45;
 
-/// A transaction is waited for at least this long, ms: a hundred times the store's usual answer,
-/// and short enough for several tries within a caller's 3 s.
-const TRY_MS: u64 = 450;
+/// Minimum timeout of a transaction, ms: a hundred times the usual latency of the store, and short
+/// enough for several tries within a caller's 3 s.
+const MIN_COMMIT_TIMEOUT_MS: u64 = 450;
 
-/// Longest a write over the link is waited for, ms: two tries of the scheduler's instance.
-const RELAY_MS: u64 = 900;
+/// Timeout of a write over the link, ms: two tries of the leader's instance.
+const RELAY_TIMEOUT_MS: u64 = 900;
 
-/// Wait before a transaction that was refused is tried again, ms.
-const RETRY_MS: u64 = 60;
+/// Delay before a transaction that was refused is tried again, ms.
+const RETRY_DELAY_MS: u64 = 60;
 
-/// Requests that may wait for one writer: twenty groups, some 5 s at the store's slowest.
-const QUEUE: usize = 20 * GROUP;
+/// Capacity of the queue of one writer, requests: twenty batches, some 5 s at the store's slowest.
+const QUEUE_CAPACITY: usize = 20 * MAX_BATCH;
 
-/// Time between two looks at whether a store that owes an answer has given one, ms: a few of its
-/// usual answers.
-const GLANCE_MS: u64 = 20;
+/// Interval between checks whether a stalled store has answered, ms: a few times its usual latency.
+const STALL_POLL_MS: u64 = 20;
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Written {
-    /// It is stored.
+    /// The row is stored.
     Stored,
-    /// The row was there before.
+    /// The row already existed.
     Known,
-    /// It is not stored and never will be.
+    /// The row is not stored and will not be stored later.
     NotStored,
-    /// It may be stored, now or later.
+    /// The row may be stored, now or later.
     Unknown,
 }
 
 impl Written {
-    /// Whether the row stands in the store.
+    /// Whether the row exists in the store.
     pub fn stands(self) -> bool {
         matches!(self, Self::Stored | Self::Known)
     }
@@ -60,13 +61,13 @@
 
 struct Request {
     job: JobId,
-    /// The job's row, or none for a cancellation.
+    /// The job's row; none for a cancellation.
     row: Option<Vec<u8>>,
     until: u64,
-    /// An earlier try had no answer.
-    unsure: bool,
-    /// Written for another instance: not passed on again.
-    foreign: bool,
+    /// The outcome of an earlier try is unknown.
+    unknown: bool,
+    /// Received from another instance; it must not be relayed again.
+    relayed: bool,
     done: oneshot::Sender<Written>,
 }
 
@@ -79,24 +80,25 @@
     }
 }
 
-/// Answers requests; a caller that has gone needs none.
-fn answer(group: Vec<Request>, out: Written) {
-    for r in group {
+/// Sends the outcome to all requests of a batch. A caller that has gone away is ignored.
+fn answer_all(batch: Vec<Request>, out: Written) {
+    for r in batch {
         let _ = r.done.send(out);
     }
 }
 
-/// The writers of one instance.
+/// Front end of the writers of one instance: one queue for each partition.
 pub struct Intake {
     parts: Vec<Sender<Request>>,
-    /// The store's parts, each a dependency of its own: some can be away while others serve, and
-    /// one dependency for all would be lost and regained several times a second.
+    /// Health of each partition of the store. Some partitions can be unavailable while others
+    /// serve; a single dependency for all of them would be lost and regained several times a
+    /// second.
     writes: Vec<Arc<Dependency>>,
     clock: Clock,
 }
 
 impl Intake {
-    /// The intake, and its writers to be run.
+    /// Creates the queues and the writers. The caller must run the writers.
     pub fn new(
         store: Arc<dyn Store>,
         pulse: Arc<Pulse>,
@@ -108,7 +110,7 @@
         let mut all_writes = Vec::new();
         let mut writers = Vec::new();
         for part in 0..rows::JOB_PARTS {
-            let (tx, rx) = channel::bounded(QUEUE);
+            let (tx, rx) = channel::bounded(QUEUE_CAPACITY);
             parts.push(tx);
             let name = format!("store, submissions, part {}", rows::part_name(part));
             let writes = Arc::new(Dependency::new(name, clock.clone()));
@@ -120,40 +122,40 @@
         (Self { parts, writes: all_writes, clock }, writers)
     }
 
-    /// Parts of the store that take no submissions now, for the state dump.
+    /// Partitions of the store that accept no submissions at present, for the state dump.
     pub fn lost(&self) -> Vec<&str> {
         self.writes.iter().filter(|w| w.lost()).map(|w| w.name()).collect()
     }
 
-    /// Stores a job if its id is new, giving up after `ms`.
+    /// Stores a job if its id is new; gives up after `ms`.
     pub async fn submit(&self, job: JobId, row: &JobRow, ms: u64) -> Written {
         self.write(job, Some(rows::encode(row)), ms, false).await
     }
 
-    /// Stores a cancellation, giving up after `ms`.
+    /// Stores a cancellation; gives up after `ms`.
     pub async fn cancel(&self, job: JobId, ms: u64) -> Written {
         self.write(job, None, ms, false).await
     }
 
-    /// Stores something for another instance, giving up after `ms`.
+    /// Stores a write that another instance has relayed; gives up after `ms`.
     pub async fn relayed(&self, relay: &Relay, ms: u64) -> Written {
         self.write(relay.job, relay.row.clone(), ms, true).await
     }
 
-    async fn write(&self, job: JobId, row: Option<Vec<u8>>, ms: u64, foreign: bool) -> Written {
+    async fn write(&self, job: JobId, row: Option<Vec<u8>>, ms: u64, relayed: bool) -> Written {
         let (done, out) = oneshot::channel();
         let until = self.clock.mono() + ms;
-        let req = Request { job, row, until, unsure: false, foreign, done };
+        let req = Request { job, row, until, unknown: false, relayed, done };
         let part = &self.parts[rows::job_part_index(job) as usize];
         if part.try_send(req).is_err() {
-            log::warn!(job:% = job; "writer's queue is full");
+            log::warn!(job:% = job; "submission queue is full");
             return Written::NotStored;
         }
         out.await.unwrap_or(Written::Unknown)
     }
 }
 
-/// Writes the rows of one part.
+/// Writer of one partition.
 pub struct Writer {
     rx: Receiver<Request>,
     store: Arc<dyn Store>,
@@ -165,83 +167,84 @@
 }
 
 impl Writer {
-    /// Runs until the intake is dropped.
+    /// Runs until [`Intake`] is dropped.
     pub async fn run(self) {
-        let mut group: Vec<Request> = Vec::new();
+        let mut batch: Vec<Request> = Vec::new();
         loop {
-            if group.is_empty() {
+            if batch.is_empty() {
                 match self.rx.recv().await {
-                    Ok(r) => group.push(r),
+                    Ok(r) => batch.push(r),
                     Err(_) => return,
                 }
             }
-            while group.len() < GROUP {
+            while batch.len() < MAX_BATCH {
                 match self.rx.try_recv() {
-                    Ok(r) => group.push(r),
+                    Ok(r) => batch.push(r),
                     Err(_) => break,
                 }
             }
-            group = self.give_up(group);
+            batch = self.expire(batch);
             if self.pulse.silent() {
-                group = self.without_store(group).await;
+                batch = self.bypass_store(batch).await;
             } else if self.pulse.stalled_ms() >= HOLD_MS {
-                self.clock.sleep(GLANCE_MS).await;
+                self.clock.sleep(STALL_POLL_MS).await;
                 continue;
             }
-            if !group.is_empty() {
-                group = self.attempt(group).await;
+            if !batch.is_empty() {
+                batch = self.commit_batch(batch).await;
             }
         }
     }
 
-    /// The store is known to be away: over the link if there is one, else refused at once. A
-    /// write sent into the silence could only end in doubt, and keeps its caller from coming back
-    /// in time. The feeds go on asking; with their first answer writes go to the store again.
-    async fn without_store(&self, group: Vec<Request>) -> Vec<Request> {
-        let left = if self.peer.fresh() { self.relay(group).await } else { group };
+    /// Handles a batch while the store is unavailable: relays it over the link if there is one,
+    /// else refuses it at once. A write to an unresponsive store could only end with an unknown
+    /// outcome, and its caller could not retry in time. The change feeds keep polling; writes go to
+    /// the store again after their first response.
+    async fn bypass_store(&self, batch: Vec<Request>) -> Vec<Request> {
+        let remaining = if self.peer.fresh() { self.relay(batch).await } else { batch };
         if self.peer.fresh() {
-            return left;
+            return remaining;
         }
-        let (unsure, lost): (Vec<_>, Vec<_>) = left.into_iter().partition(|r| r.unsure);
-        answer(lost, Written::NotStored);
-        answer(unsure, Written::Unknown);
+        let (unknown, lost): (Vec<_>, Vec<_>) = remaining.into_iter().partition(|r| r.unknown);
+        answer_all(lost, Written::NotStored);
+        answer_all(unknown, Written::Unknown);
         Vec::new()
     }
 
-    /// Answers requests whose time is up.
-    fn give_up(&self, group: Vec<Request>) -> Vec<Request> {
+    /// Answers the requests that are past their deadline and returns the others.
+    fn expire(&self, batch: Vec<Request>) -> Vec<Request> {
         let now = self.clock.mono();
-        let (left, late): (Vec<_>, Vec<_>) = group.into_iter().partition(|r| r.until > now);
-        for r in late {
-            let out = if r.unsure { Written::Unknown } else { Written::NotStored };
+        let (remaining, expired): (Vec<_>, Vec<_>) = batch.into_iter().partition(|r| r.until > now);
+        for r in expired {
+            let out = if r.unknown { Written::Unknown } else { Written::NotStored };
             let _ = r.done.send(out);
         }
-        left
+        remaining
     }
 
-    /// Has the scheduler's instance write; returns the requests to try again here.
-    async fn relay(&self, group: Vec<Request>) -> Vec<Request> {
-        let (foreign, own): (Vec<_>, Vec<_>) = group.into_iter().partition(|r| r.foreign);
-        let ask = |r: &Request| {
+    /// Relays requests to the leader's instance; returns those to try again here.
+    async fn relay(&self, batch: Vec<Request>) -> Vec<Request> {
+        let (relayed, local): (Vec<_>, Vec<_>) = batch.into_iter().partition(|r| r.relayed);
+        let send = |r: &Request| {
             let relay = Relay { job: r.job, row: r.row.clone() };
-            self.peer.relay(relay, RELAY_MS)
+            self.peer.relay(relay, RELAY_TIMEOUT_MS)
         };
-        let outs = futures::future::join_all(own.iter().map(ask)).await;
-        let mut left = foreign;
-        for (r, out) in own.into_iter().zip(outs) {
+        let outs = futures::future::join_all(local.iter().map(send)).await;
+        let mut remaining = relayed;
+        for (r, out) in local.into_iter().zip(outs) {
             match out {
                 Some(w) if w.stands() => drop(r.done.send(w).is_err()),
-                Some(Written::NotStored) => left.push(r),
-                _ => left.push(Request { unsure: true, ..r }),
+                Some(Written::NotStored) => remaining.push(r),
+                _ => remaining.push(Request { unknown: true, ..r }),
             }
         }
-        left
+        remaining
     }
 
-    /// One transaction; returns the requests to try again.
-    async fn attempt(&self, group: Vec<Request>) -> Vec<Request> {
+    /// Commits one transaction; returns the requests to try again.
+    async fn commit_batch(&self, batch: Vec<Request>) -> Vec<Request> {
         let mut txn = Txn::default();
-        for r in &group {
+        for r in &batch {
             if r.row.is_some() {
                 txn.expect.push((r.key(), 0));
             }
@@ -249,44 +252,45 @@
             txn.put.push((r.key(), value));
         }
         let sent = self.clock.mono();
-        let out = self.store.commit(&txn, self.mirror.patience(TRY_MS)).await;
+        let out = self.store.commit(&txn, self.mirror.patience(MIN_COMMIT_TIMEOUT_MS)).await;
         let ms = self.clock.mono() - sent;
         metrics::histogram!("control_intake_commit_seconds").record(ms as f64 / 1000.0);
         match out {
             Ok(Commit::Done(_)) => {
                 self.writes.works();
-                answer(group, Written::Stored);
+                answer_all(batch, Written::Stored);
                 Vec::new()
             }
             Ok(Commit::Conflict(found)) => {
                 let known = |r: &Request| found.iter().any(|f| f.key == r.key());
-                let (there, left): (Vec<_>, Vec<_>) = group.into_iter().partition(known);
-                answer(there, Written::Known);
-                left
+                let (existing, remaining): (Vec<_>, Vec<_>) = batch.into_iter().partition(known);
+                answer_all(existing, Written::Known);
+                remaining
             }
             Err(CommitError::Rejected(status)) => {
-                log::error!(status = status, rows = group.len(); "store rejects submissions");
-                answer(group, Written::NotStored);
+                log::error!(status = status, rows = batch.len(); "store rejects submissions");
+                answer_all(batch, Written::NotStored);
                 Vec::new()
             }
             Err(e) => {
                 self.writes.fails(&e);
-                let unsure = !matches!(e, CommitError::NotDone(_));
-                self.failed(group, unsure).await
+                let unknown = !matches!(e, CommitError::NotDone(_));
+                self.retry_or_relay(batch, unknown).await
             }
         }
     }
 
-    /// After a transaction without success: over the link if there is one, else again in a moment.
-    async fn failed(&self, group: Vec<Request>, unsure: bool) -> Vec<Request> {
-        let mut group: Vec<Request> =
-            group.into_iter().map(|r| Request { unsure: r.unsure || unsure, ..r }).collect();
+    /// Handles a failed transaction: relays the requests if there is a link, and else delays the
+    /// next try.
+    async fn retry_or_relay(&self, batch: Vec<Request>, unknown: bool) -> Vec<Request> {
+        let mut batch: Vec<Request> =
+            batch.into_iter().map(|r| Request { unknown: r.unknown || unknown, ..r }).collect();
         if self.peer.fresh() {
-            group = self.relay(group).await;
+            batch = self.relay(batch).await;
         }
-        if !group.is_empty() {
-            self.clock.sleep(RETRY_MS).await;
+        if !batch.is_empty() {
+            self.clock.sleep(RETRY_DELAY_MS).await;
         }
-        group
+        batch
     }
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,11 +1,15 @@
-//! The control plane on the platform: every instance takes jobs and answers for them, and one of
-//! them, the holder of the scheduler's office, places their tasks on runners.
+//! The control plane on the platform: every instance accepts jobs and answers queries about them,
+//! and one of them, the elected leader, runs the scheduler, which places tasks on runners.
 //!
-//! `engine` decides without I/O; `leader` drives it; `office` elects who does; `mirror` keeps
-//! what the store says of jobs; `intake` writes submissions in groups; `front` answers callers;
-//! `links` connects the other instances with the scheduler's; `pulse` knows whether the store answers;
-//! `evict` picks tasks that make room; `crashes` finds tasks that
-//! crash their runners; `pace` learns what estimates are worth; `parts` spreads progress over the store; `health` logs dependencies lost and regained.
+//! - `engine` decides without I/O, `leader` drives it, and `office` elects the leader.
+//! - `queue`, `place`, `evict`, `crashes` and `pace` are policies of the engine: queue order,
+//!   placement, preemption, crash-loop detection and the run-time model.
+//! - `mirror` is the local cache of the store's tables, `intake` writes submissions in batches,
+//!   `parts` spreads progress over the partitions of the store, and `rows` encodes the rows.
+//! - `front` handles callers' requests, and `links` connects the other instances to the leader.
+//! - `pulse` tracks the health of the store, and `health` logs dependencies lost and regained.
+//! - `model` and `ports` hold the data model and the interfaces to the platform; `node` and
+//!   `settings` assemble and configure an instance.
 
 pub mod crashes;
 pub mod engine;
--- a/src/control/model.rs
+++ b/src/control/model.rs
@@ -1,4 +1,5 @@
-//! Jobs, steps, tasks and queues as the control plane knows them.
+//! Data model of the control plane: jobs, steps, tasks, queues and the catalogue, with the bounds
+//! on their fields.
 
 use crate::kernel::res::Resources;
 use serde::{Deserialize, Serialize};
@@ -6,36 +7,38 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Digits of a job's id.
+/// Hexadecimal digits of a job's id.
 const ID_DIGITS: usize = 16;
 
-/// Most steps of a job, and most tasks of a step: bounds the memory that one request can take,
-/// some ten times what callers send.
+/// Maximum number of steps of a job. It and [`MAX_WIDTH`] bound the memory that one request can
+/// take; both are some ten times what callers send.
 const MAX_STEPS: usize = 64;
-/// See [`MAX_STEPS`].
+/// Maximum number of tasks of a step, see [`MAX_STEPS`].
 const MAX_WIDTH: u32 = 1_000;
-/// Most tasks of a job over all its occurrences, so that its progress fits one row of the store.
+/// Maximum number of tasks of a job over all its occurrences, so that its progress fits one row of
+/// the store.
 const MAX_TASKS: u64 = 2_000;
 
-/// Longest time that a caller, the operator or a row may name, ms: 35 years. The sum of the times of
-/// all steps and occurrences of a job, and three objectives of it, stay far within 64 bits.
+/// Longest duration that is accepted from a caller, the operator or a row, ms: 35 years. The sum of
+/// the durations of all steps and occurrences of a job, and three times its objective, stay far
+/// within 64 bits.
 pub const MAX_MS: u64 = 1 << 40;
 
-/// Latest moment that is believed, Unix ms: the year 10889.
+/// Latest time that is accepted, Unix ms: the year 10889.
 pub const MAX_MOMENT: u64 = 1 << 48;
 
-/// Most that a task may ask for of each resource, thousandths of a core and MiB: a thousand times
-/// the largest machines there are. What a million waiting jobs ask for together stays within 64
-/// bits; without a bound one absurd job would spoil the sum that all others are planned by.
+/// Maximum of each resource of a task, thousandths of a core and MiB: a thousand times the largest
+/// machines there are. The sum over a million waiting jobs stays within 64 bits; without a bound
+/// one job with an invalid value would spoil the sum that all others are planned by.
 pub const MAX_NEED: u64 = 1 << 32;
 
 /// A job's id, chosen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
-/// A text that is not the id it should be.
+/// Error: a text is not an id of the expected form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not an id")]
+#[error("not a valid id")]
 pub struct BadId;
 
 impl FromStr for JobId {
@@ -103,16 +106,16 @@
     }
 }
 
-/// Number of a start of a task, from 1 and rising; 0 before the first.
+/// Number of a start of a task: from 1, rising with each start; 0 before the first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(try_from = "u32")]
 pub struct Attempt(pub u32);
 
-/// A number that no start has.
+/// Error: a number beyond [`Attempt::LAST`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("attempt beyond {}", Attempt::LAST)]
+#[error("attempt number beyond {}", Attempt::LAST)]
 pub struct BadAttempt;
 
 impl TryFrom<u32> for Attempt {
@@ -127,11 +130,11 @@
 }
 
 impl Attempt {
-    /// Highest number read from outside. Beyond the numbers there are no more starts: a task whose
-    /// row said so would never run again.
+    /// Highest attempt number that is accepted from outside. A task whose row holds the largest
+    /// number of the type would have no next start and never run again.
     pub const LAST: u32 = 1 << 31;
 
-    /// The one after.
+    /// The next attempt number.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -140,9 +143,9 @@
 /// How a run of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndKind {
-    /// It did its work.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or the runner's.
+    /// It failed, because of the task or of the runner.
     Failed,
     /// It was stopped by an order.
     Stopped,
@@ -150,7 +153,7 @@
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited in vain for the other members of its gang.
+    /// Not all other members of its gang started in time.
     Alone,
 }
 
@@ -168,45 +171,46 @@
     }
 }
 
-/// A step of a job: `count` like tasks.
+/// A step of a job: `count` identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// What each takes.
+    /// Resources of one task.
     pub need: Resources,
-    /// Rough duration of a task, ms.
+    /// Estimated duration of a task, ms; a rough figure from the caller.
     pub estimate: u64,
-    /// Earlier steps that must be done first.
+    /// Indices of earlier steps that must be completed first.
     pub after: Vec<u32>,
-    /// It writes checkpoints.
+    /// Its tasks write checkpoints.
     pub saves: bool,
-    /// Its tasks work only all together.
+    /// Its tasks form a gang: they run all at the same time or not at all.
     pub gang: bool,
-    /// It is slower when spread over racks.
+    /// It is slower when its tasks are spread over several racks.
     pub one_rack: bool,
     /// Label that the runner must have; empty for none.
     pub label: String,
     /// Rack that holds its data; empty for none.
     pub rack: String,
-    /// Most tasks on one runner; 0 for no limit.
+    /// Maximum number of its tasks on one runner; 0 for no limit.
     pub per_runner: u32,
-    /// Copies of a task may run at the same time.
+    /// Speculative copies of a task may run at the same time.
     pub copies: bool,
     /// Its tasks run until the job is cancelled.
     pub lasts: bool,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that its tasks run; tasks of one image behave alike.
     pub image: String,
     /// Bound on the tail latency of its tasks, ms; 0 for none.
     pub tail_ms: u64,
-    /// It takes the processor that others leave; only its memory counts.
+    /// It uses processor time that others leave idle; only its memory counts.
     pub fills: bool,
-    /// Most tasks that the system may make unavailable at once; 0 where that does not apply.
+    /// Maximum number of tasks that the system may make unavailable at once; 0 where that does not
+    /// apply.
     pub may_miss: u32,
 }
 
 impl Step {
-    /// What one task takes of a runner's room.
+    /// Resources that one task occupies on a runner.
     pub fn demand(&self) -> Resources {
         match self.fills {
             true => Resources { cpu: 0, ..self.need },
@@ -218,7 +222,7 @@
 /// A job as submitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// What its tasks are given.
+    /// Payload that is passed to its tasks.
     pub payload: String,
     /// Its steps.
     pub steps: Vec<Step>,
@@ -230,7 +234,7 @@
     pub times: u32,
 }
 
-/// What is wrong with a submitted job.
+/// Error: why a submitted job is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Invalid {
     /// The body is not a job.
@@ -242,13 +246,13 @@
         /// The limit.
         max: usize,
     },
-    /// The number of steps.
+    /// The number of steps is out of range.
     #[error("phases: must be 1 to {MAX_STEPS}")]
     Steps,
-    /// The number of tasks of a step.
+    /// The number of tasks of a step is out of range.
     #[error("phases[{0}].count: must be 1 to {MAX_WIDTH}")]
     Count(usize),
-    /// A step waits for itself, for a later one or for one that does not exist.
+    /// A step depends on itself, on a later step or on one that does not exist.
     #[error("phases[{0}].after: must name earlier steps")]
     After(usize),
     /// More of a resource than any machine has.
@@ -257,13 +261,13 @@
     /// A duration that is too long.
     #[error("phases[{0}]: times must be at most {MAX_MS} ms")]
     Time(usize),
-    /// A schedule that reaches too far.
+    /// A schedule that ends too late.
     #[error("first_run_ms must be at most {MAX_MOMENT}, interval_ms at most {MAX_MS}")]
     Schedule,
-    /// Too many tasks altogether.
+    /// Too many tasks over all steps and occurrences.
     #[error("more than {MAX_TASKS} tasks")]
     Tasks,
-    /// The id in the path.
+    /// The id in the path is invalid.
     #[error("id: must be {ID_DIGITS} hexadecimal digits, lower case")]
     Id,
     /// The body is too long.
@@ -301,12 +305,12 @@
         (self.times > 0).then(|| self.first_ms + u64::from(occurrence) * self.every_ms)
     }
 
-    /// Whether it runs until cancelled.
+    /// Whether the job runs until it is cancelled.
     pub fn lasts(&self) -> bool {
         self.steps.iter().any(|s| s.lasts)
     }
 
-    /// Checks what can be checked without knowing the cell.
+    /// Checks everything that does not depend on the cell.
     pub fn check(&self) -> Result<(), Invalid> {
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             return Err(Invalid::Steps);
@@ -333,7 +337,7 @@
     Queued,
     /// A task has started.
     Running,
-    /// All tasks have ended done.
+    /// All tasks have completed.
     Completed,
     /// A task or gang failed too often.
     Failed,
@@ -342,7 +346,7 @@
 }
 
 impl JobState {
-    /// Whether it will change no more.
+    /// Whether the state is final.
     pub fn ended(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
@@ -359,60 +363,60 @@
     }
 }
 
-/// What a queue's policy costs to ask.
+/// Cost model of advice requests of a queue, which its policy requires before a start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Approval {
-    /// Time of a question, ms.
+    /// Processing time of a request without runners, ms.
     pub base_ms: f64,
-    /// More for each runner named, ms.
+    /// Additional processing time for each runner named, ms.
     pub each_ms: f64,
-    /// Life of a ticket, ms.
+    /// Validity of a ticket, ms.
     pub valid_ms: u64,
 }
 
 impl Approval {
-    /// Time that a question naming `n` runners takes of the service, ms.
+    /// Processing time of a request that names `n` runners, ms.
     pub fn cost_ms(&self, n: usize) -> f64 {
         self.base_ms + self.each_ms * n as f64
     }
 }
 
-/// A queue of jobs: who may submit where, and under what rules they run.
+/// A queue of jobs: its address for callers, and the rules that its jobs run under.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
     /// Name.
     pub name: String,
-    /// Host that callers name.
+    /// Host name in requests.
     pub host: String,
-    /// Path prefix before the job's id.
+    /// Path prefix in front of the job id.
     pub prefix: String,
     /// Service whose runners run its tasks.
     pub service: String,
-    /// 0 comes first.
+    /// Priority; 0 is served first.
     pub priority: u32,
-    /// Failures of a task after which its job has failed.
+    /// Number of failures of a task after which its job has failed.
     pub max_fails: u32,
-    /// Objective: this many times the longest chain of work ...
+    /// Objective of a job: this factor times its longest chain of work, plus [`Self::latency_ms`].
     pub slack: f64,
-    /// ... and this much more, ms.
+    /// Constant part of the objective, ms.
     pub latency_ms: u64,
-    /// Longest answer time, ms.
+    /// Maximum response time, ms.
     pub timeout_ms: u64,
-    /// Whether the queue's policy must approve runners, and what asking costs.
+    /// Cost of advice requests if the queue's policy must approve runners; none if it need not.
     pub approval: Option<Approval>,
 }
 
-/// The operator's configuration: every queue.
+/// The operator's configuration: all queues.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalogue {
-    /// Version; 0 before the first is known.
+    /// Version; 0 before the first one is read.
     pub version: u64,
     /// Queues by name.
     pub queues: BTreeMap<String, Queue>,
 }
 
 impl Catalogue {
-    /// The queue for a host and path: the longest prefix that the path begins with.
+    /// The queue for a host and path: of those whose prefix matches, the one with the longest.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let host = host.split(':').next().unwrap_or(host);
         let fits = |q: &&Queue| q.host.eq_ignore_ascii_case(host) && path.starts_with(&q.prefix);
--- a/src/control/ports.rs
+++ b/src/control/ports.rs
@@ -1,24 +1,24 @@
-//! The edges of the control plane: what it asks of a store, of runners and of the advice
-//! service. `platform/` implements them over the users' protocol, tests in memory.
+//! Interfaces of the control plane to the store, the runners and the advice service. `platform/`
+//! implements them over the users' protocol; tests implement them in memory.
 
 use super::model::{Attempt, EndKind, StepId, TaskId};
 use crate::kernel::res::Resources;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Names a row. Rows of one part, of any tables, can be written in one transaction.
+/// Key of a row. Rows of one partition, of any tables, can be written in one transaction.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key {
     /// Table.
     pub table: String,
-    /// Part.
+    /// Partition.
     pub part: String,
-    /// Key within the part.
+    /// Key within the partition.
     pub key: String,
 }
 
 impl Key {
-    /// A key from its three names.
+    /// Builds a key.
     pub fn new(table: &str, part: &str, key: &str) -> Self {
         Self { table: table.into(), part: part.into(), key: key.into() }
     }
@@ -31,14 +31,14 @@
     pub key: Key,
     /// Its value.
     pub value: Vec<u8>,
-    /// The transaction that wrote it; 0 stands for a row that does not exist.
+    /// Version: number of the transaction that wrote the row; 0 if the row does not exist.
     pub version: u64,
 }
 
-/// A conditional transaction: all of it is applied, or nothing.
+/// A conditional transaction, applied in full or not at all.
 #[derive(Clone, Debug, Default)]
 pub struct Txn {
-    /// Versions that rows must have (0: the row must not exist).
+    /// Versions that rows must have; 0 if the row must not exist.
     pub expect: Vec<(Key, u64)>,
     /// Rows to write.
     pub put: Vec<(Key, Vec<u8>)>,
@@ -46,46 +46,47 @@
     pub remove: Vec<Key>,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Commit {
-    /// Applied, with this version.
+    /// Applied; the version that it created.
     Done(u64),
-    /// A condition did not hold: nothing was applied. The expected rows that exist, as they are.
+    /// A condition did not hold and nothing was applied. Holds those of the expected rows that
+    /// exist, with their current contents.
     Conflict(Vec<Row>),
 }
 
-/// Why the outcome of a transaction is not known, or why it was not applied.
+/// Error of a transaction: it was not applied, or its outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
-    /// Nothing was applied and nothing will be.
-    #[error("not done: {0}")]
+    /// Not applied, and it will not be applied later.
+    #[error("not applied: {0}")]
     NotDone(String),
-    /// It may have been applied, or may be later if its conditions still hold.
+    /// It may have been applied, or may be applied later if its conditions still hold.
     #[error("outcome unknown: {0}")]
     Unknown(String),
-    /// The store will never take it.
+    /// The store rejects it permanently, with this status.
     #[error("rejected with status {0}")]
     Rejected(u16),
-    /// Applied or not, its answer cannot be read.
-    #[error("malformed answer")]
+    /// The response cannot be decoded, so that the outcome is unknown.
+    #[error("malformed response")]
     Malformed,
 }
 
-/// Why a read failed.
+/// Error of a read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// The feed no longer has the changes asked for: read the table anew.
-    #[error("history gone")]
+    /// The feed no longer has these changes; the table must be read in full.
+    #[error("changes are no longer available")]
     HistoryGone,
     /// Refused with this status.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// No answer.
+    /// No response.
     #[error("unreachable: {0}")]
     Unreachable(String),
-    /// The answer cannot be read.
-    #[error("malformed answer")]
+    /// The response cannot be decoded.
+    #[error("malformed response")]
     Malformed,
 }
 
@@ -94,9 +95,9 @@
 pub struct Page {
     /// The rows.
     pub rows: Vec<Row>,
-    /// Whether more follow.
+    /// Whether more rows follow.
     pub more: bool,
-    /// The store's newest version at that moment.
+    /// The store's newest version at the time of the read.
     pub version: u64,
 }
 
@@ -114,17 +115,17 @@
 pub struct Changes {
     /// The changes.
     pub rows: Vec<Change>,
-    /// Go on after this version.
+    /// Version to continue after.
     pub version: u64,
 }
 
-/// The transactional store that keeps what must last.
+/// The transactional store that holds all durable state.
 #[tide::utils::async_trait]
 pub trait Store: Send + Sync + 'static {
-    /// Applies a transaction, waiting at most `ms` for the answer.
+    /// Applies a transaction and waits at most `ms` for the response.
     async fn commit(&self, txn: &Txn, ms: u64) -> Result<Commit, CommitError>;
 
-    /// Reads rows of a part with keys in `from..to`, at most `limit`.
+    /// Reads at most `limit` rows of a partition with keys in `from..to`.
     async fn page(
         &self,
         table: &str,
@@ -134,18 +135,18 @@
         limit: usize,
     ) -> Result<Page, ReadError>;
 
-    /// Changes of a table after a version; waits up to `wait_ms` for the first.
+    /// Reads the changes of a table after a version; waits up to `wait_ms` for the first one.
     async fn changes(&self, table: &str, after: u64, wait_ms: u64) -> Result<Changes, ReadError>;
 }
 
-/// A runner as its registry entry describes it.
+/// A runner as described by its registry entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunnerEntry {
     /// The service it runs tasks for.
     pub service: String,
-    /// Where it takes orders.
+    /// Address for calls.
     pub addr: SocketAddr,
-    /// It is leaving: nothing new may start there.
+    /// It is draining: nothing new may start there.
     pub draining: bool,
     /// Its capacity.
     pub room: Resources,
@@ -155,12 +156,12 @@
     pub labels: BTreeSet<String>,
 }
 
-/// Whom a call to a runner is meant for.
+/// Destination of a call to a runner.
 #[derive(Clone, Debug)]
 pub struct RunnerCall {
     /// Address.
     pub addr: SocketAddr,
-    /// Id of the incarnation; another one at that address refuses.
+    /// Id of the incarnation; another incarnation at that address refuses the call.
     pub id: String,
 }
 
@@ -171,7 +172,7 @@
     pub task: TaskId,
     /// Number of this start.
     pub attempt: Attempt,
-    /// What the caller gave to run.
+    /// Payload of the job.
     pub payload: String,
     /// End of the lease, ms on the runner's clock.
     pub until: u64,
@@ -179,7 +180,7 @@
     pub fence: u64,
     /// Checkpoint to resume from; empty for none.
     pub saved: String,
-    /// Ticket that the queue's policy asks for.
+    /// Ticket from the advice service, if the queue's policy requires one.
     pub ticket: Option<String>,
 }
 
@@ -194,20 +195,21 @@
     pub fence: u64,
 }
 
-/// Extends the lease of all that runs on a runner and asks what runs and what has ended.
+/// Request that extends the lease on a runner, and with it all runs there, and asks for its active
+/// runs and completions.
 #[derive(Clone, Copy, Debug)]
 pub struct Hold {
     /// Fencing token.
     pub fence: u64,
-    /// Ends up to this number have been stored and may be forgotten.
+    /// Completions up to this number have been stored; the runner may forget them.
     pub acked: u64,
-    /// New end of the lease, ms on the runner's clock; none leaves it.
+    /// New end of the lease, ms on the runner's clock; none leaves the lease as it is.
     pub until: Option<u64>,
-    /// The runner waits this long for an end before it answers, ms.
+    /// Time that the runner waits for a completion before it answers, ms.
     pub wait_ms: u64,
 }
 
-/// A task that runs.
+/// An active run of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Active {
     /// The task.
@@ -218,14 +220,14 @@
     pub saved: String,
     /// Progress, percent.
     pub percent: f64,
-    /// Tail latency in ms of a task that serves, else processor in use.
+    /// For a task that serves requests its tail latency, ms; else its processor use.
     pub load: f64,
 }
 
-/// A task that ended.
+/// A completion of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
-    /// Number of the end in this incarnation, from 1.
+    /// Number of the completion in this incarnation, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskId,
@@ -237,103 +239,103 @@
     pub saved: String,
 }
 
-/// What a runner says of itself.
+/// Response of a runner to [`Runners::hold`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// Its clock, ms.
     pub clock: u64,
-    /// What runs.
+    /// Active runs.
     pub active: Vec<Active>,
-    /// Ends not yet acknowledged, oldest first.
+    /// Completions that have not been acknowledged, oldest first.
     pub ends: Vec<End>,
 }
 
-/// Why a runner did not do as told.
+/// Error of a call to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// It has seen a higher fencing token.
-    #[error("fenced off")]
+    /// The runner has seen a higher fencing token.
+    #[error("fenced by a higher token")]
     Fenced,
-    /// A start of this number or a higher one was stopped or has ended there.
+    /// A start with this attempt number or a higher one was stopped or has ended on the runner.
     #[error("superseded")]
     Superseded,
-    /// The lease offered had already ended.
+    /// The lease in the order has already expired.
     #[error("lease expired")]
     Expired,
-    /// No room; nothing was started.
-    #[error("no room")]
+    /// Not enough free capacity; nothing was started.
+    #[error("insufficient capacity")]
     NoRoom,
     /// The ticket is missing or too old; nothing was started.
     #[error("ticket refused")]
     Ticket,
-    /// The order cannot be read; nothing was started.
+    /// The order cannot be decoded; nothing was started.
     #[error("invalid order")]
     Invalid,
-    /// It is unhealthy and has done nothing.
+    /// The runner is unhealthy and has done nothing.
     #[error("unhealthy")]
     Unhealthy,
-    /// Another incarnation answers at that address.
+    /// Another incarnation runs at that address.
     #[error("another incarnation")]
     OtherLife,
     /// No connection: nothing was sent.
     #[error("unreachable")]
     Unreachable,
-    /// No answer: it may have been done, or may be done later.
-    #[error("no answer")]
+    /// No response: the order may have been carried out, or may be later.
+    #[error("no response")]
     NoAnswer,
 }
 
-/// The runners of the cell. Orders answer with the runner's clock, ms.
+/// Calls to the runners of the cell. `start` and `stop` return the time on the runner's clock, ms.
 #[tide::utils::async_trait]
 pub trait Runners: Send + Sync + 'static {
-    /// Starts a task; a repetition of an order carried out is no error.
+    /// Starts a task; repeating an order that was carried out is not an error.
     async fn start(&self, to: &RunnerCall, s: &Start) -> Result<u64, Refusal>;
-    /// Stops a task, or refuses its start in advance.
+    /// Stops a task; if it has not started, its start is refused from then on.
     async fn stop(&self, to: &RunnerCall, o: &Order) -> Result<u64, Refusal>;
-    /// Extends the lease and looks.
+    /// Extends the lease and returns the active runs and completions.
     async fn hold(&self, to: &RunnerCall, h: &Hold) -> Result<Report, Refusal>;
 }
 
-/// Leave to run a step on a runner.
+/// Permission to run a step on a runner.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Ticket {
     /// The runner's id.
     pub id: String,
-    /// What the start must carry.
+    /// Token that the start order must carry.
     pub ticket: String,
 }
 
-/// Which of the runners asked about may run a step.
+/// Response to an advice request: which of the named runners may run a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Advice {
-    /// Those that may.
+    /// The approved runners.
     pub approved: Vec<Ticket>,
-    /// Life of the tickets, ms; 0 where the service does not say.
+    /// Validity of the tickets, ms; 0 if the service does not give it.
     pub valid_ms: u64,
 }
 
-/// Why there is no advice.
+/// Error of an advice request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize,
 )]
 pub enum AdviceError {
-    /// Too many calls wait for this caller.
+    /// Too many requests of this caller are waiting.
     #[error("advice service busy")]
     Busy,
     /// Refused with this status.
     #[error("advice refused with status {0}")]
     Refused(u16),
-    /// No answer.
+    /// No response.
     #[error("advice service unreachable")]
     Unreachable,
-    /// The answer cannot be read.
+    /// The response cannot be decoded.
     #[error("malformed advice")]
     Malformed,
 }
 
-/// The service that knows a queue's policy.
+/// The service that applies a queue's policy.
 #[tide::utils::async_trait]
 pub trait Advisor: Send + Sync + 'static {
-    /// Asks which of the runners `ids` may run `step`, waiting at most `ms`.
+    /// Requests advice: which of the runners `ids` may run `step`. Waits at most `ms`.
     async fn ask(&self, step: StepId, ids: &[String], ms: u64) -> Result<Advice, AdviceError>;
 }
--- a/src/control/pulse.rs
+++ b/src/control/pulse.rs
@@ -1,42 +1,43 @@
-//! Whether the store answers this process: noted at every call, whoever makes it.
+//! Health of the store as seen by this process, from the outcome of every call.
 //!
-//! What goes wrong when it falls silent: each write sent into the silence ends in doubt, and a
-//! caller in doubt must not be told that its job never runs, so that it loses a try and the time
-//! of a timeout. A read that fails shows the silence only after its own timeout, and one that
-//! succeeds shows its end only to its own caller. So every call, of any part of the process,
-//! tells [`Pulse`], which knows at once when the store is heard of again and within
-//! [`HOLD_MS`] that something is wrong.
+//! A write that is sent to an unresponsive store ends with an unknown outcome. A caller with an
+//! unknown outcome must not be answered that its job never runs, so it loses a try and the time of
+//! a timeout. A failed read reveals an outage only after its own timeout, and a successful read
+//! reveals the end of the outage only to its caller. Therefore every call of any part of the
+//! process is recorded in [`Pulse`]: a response marks the store as available at once, and an
+//! overdue response shows within [`HOLD_MS`].
 
 use super::ports::{Changes, Commit, CommitError, Page, ReadError, Store, Txn};
 use crate::kernel::clock::Clock;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 
-/// A store that has stalled for this long, ms, gets no new submissions until it has given
-/// one: forty times its usual answer. A slow store (240 ms) passes it too, which costs nothing,
-/// since submissions of a part wait for each other anyway.
+/// After the store has stalled for this long, ms, it gets no new submissions until it has answered
+/// a call: forty times its usual latency. A slow store (240 ms) exceeds it too, which costs
+/// nothing, since the submissions of a partition wait for each other anyway.
 pub const HOLD_MS: u64 = 150;
 
-/// ... and after this long it is taken to be silent, ms: longer than a transaction on a store
-/// sixty times too slow (420 ms), and short against a caller's patience of 3 s.
-const STALLED_MS: u64 = 600;
+/// After the store has stalled for this long, ms, it is considered unavailable: longer than a
+/// transaction on a store sixty times too slow (420 ms), and short against the 3 s that callers
+/// wait.
+const MAX_STALL_MS: u64 = 600;
 
-/// A store of which nothing was heard for this long, ms, is taken to be silent even if nothing is
-/// owed. An idle instance hears of it every 500 ms and a slow answer.
-const UNHEARD_MS: u64 = 1_000;
+/// Time without a response after which the store is considered unavailable even if no call is under
+/// way, ms. An idle instance gets a response every 500 ms plus the latency of a slow store.
+const NO_CONTACT_MS: u64 = 1_000;
 
 #[derive(Debug, Default)]
 struct State {
     /// When the store last served a call, local ms; 0 for never.
-    heard: u64,
-    /// Calls under way: when an answer could be expected at the earliest, local ms.
-    owed: BTreeMap<u64, u64>,
-    /// When the first call failed since one was last served, local ms.
+    last_served: u64,
+    /// Calls under way, by id: when a response is due at the earliest, local ms.
+    awaited: BTreeMap<u64, u64>,
+    /// Time of the first failed call since the last served one, local ms.
     failing: Option<u64>,
-    next: u64,
+    next_id: u64,
 }
 
-/// When the store was last heard of, and what it owes.
+/// Time of the last response of the store, and the calls under way.
 #[derive(Debug)]
 pub struct Pulse {
     clock: Clock,
@@ -44,50 +45,50 @@
 }
 
 impl Pulse {
-    /// A store not yet heard of.
+    /// State before the first response.
     pub fn new(clock: Clock) -> Self {
         Self { clock, state: Mutex::default() }
     }
 
     /// When the store last served a call, local ms; 0 for never.
     pub fn heard(&self) -> u64 {
-        self.state.lock().unwrap().heard
+        self.state.lock().unwrap().last_served
     }
 
-    /// For how long the store has owed an answer, or failed calls, without serving any, ms. An
-    /// answer that is lost alone does not count once later calls have been served.
+    /// Time for which responses have been due, or calls have failed, without any call being served,
+    /// ms. A single lost response does not count once later calls have been served.
     pub fn stalled_ms(&self) -> u64 {
         let now = self.clock.mono();
         let st = self.state.lock().unwrap();
-        let owed = st.owed.values().copied().filter(|&due| due >= st.heard);
-        let oldest = owed.chain(st.failing).min();
-        oldest.map_or(0, |since| now.saturating_sub(since))
+        let awaited = st.awaited.values().copied().filter(|&due| due >= st.last_served);
+        let earliest = awaited.chain(st.failing).min();
+        earliest.map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// For how long the store has refused or failed calls without serving any, ms. Answers that are
-    /// merely owed do not count.
+    /// Time for which the store has refused or failed calls without serving any, ms. Calls without
+    /// a response so far do not count.
     pub fn failing_ms(&self) -> u64 {
         let now = self.clock.mono();
         self.state.lock().unwrap().failing.map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Whether the store is taken not to serve this process.
+    /// Whether the store is considered unavailable to this process.
     pub fn silent(&self) -> bool {
-        self.stalled_ms() >= STALLED_MS || self.heard() + UNHEARD_MS < self.clock.mono()
+        self.stalled_ms() >= MAX_STALL_MS || self.heard() + NO_CONTACT_MS < self.clock.mono()
     }
 
-    /// Notes a call that the store may hold for `wait_ms` before it answers.
+    /// Records the start of a call that the store may hold for `wait_ms` before it answers.
     pub fn call(&self, wait_ms: u64) -> Call<'_> {
         let due = self.clock.mono() + wait_ms;
         let mut st = self.state.lock().unwrap();
-        st.next += 1;
-        let id = st.next;
-        st.owed.insert(id, due);
+        st.next_id += 1;
+        let id = st.next_id;
+        st.awaited.insert(id, due);
         Call { pulse: self, id }
     }
 }
 
-/// A call under way; no longer owed an answer once dropped.
+/// A call under way; dropping it removes it from the calls that await a response.
 #[derive(Debug)]
 pub struct Call<'a> {
     pulse: &'a Pulse,
@@ -95,12 +96,13 @@
 }
 
 impl Call<'_> {
-    /// The call ended; `served` if the store did what it was asked or said why it cannot.
+    /// Records the end of the call; `served` if the store carried it out or gave a permanent reason
+    /// against it.
     pub fn ended(self, served: bool) {
         let now = self.pulse.clock.mono();
         let mut st = self.pulse.state.lock().unwrap();
         if served {
-            st.heard = now;
+            st.last_served = now;
             st.failing = None;
         } else {
             st.failing.get_or_insert(now);
@@ -110,24 +112,24 @@
 
 impl Drop for Call<'_> {
     fn drop(&mut self) {
-        self.pulse.state.lock().unwrap().owed.remove(&self.id);
+        self.pulse.state.lock().unwrap().awaited.remove(&self.id);
     }
 }
 
-/// A store whose calls are noted.
+/// A store whose calls are recorded in a [`Pulse`].
 pub struct Watched {
     inner: Arc<dyn Store>,
     pulse: Arc<Pulse>,
 }
 
 impl Watched {
-    /// Notes calls of `inner` in `pulse`.
+    /// Records the calls of `inner` in `pulse`.
     pub fn new(inner: Arc<dyn Store>, pulse: Arc<Pulse>) -> Self {
         Self { inner, pulse }
     }
 }
 
-/// Whether the store served a read: a history that is gone is an answer too.
+/// Whether the store served a read: a history that is gone is a valid response, too.
 fn served<T>(res: &Result<T, ReadError>) -> bool {
     matches!(res, Ok(_) | Err(ReadError::HistoryGone))
 }
--- a/src/control/queue.rs
+++ b/src/control/queue.rs
@@ -1,53 +1,54 @@
-//! The order in which steps are served, without I/O.
+//! Queue order: ranks the steps that wait for placement. No I/O.
 //!
-//! What a job earns falls when its objective passes and is gone at three times the objective.
-//! Urgent queues come first; the rest by the latest moment at which a step can start and still
-//! meet its job's objective, so that a tight job passes one with time to spare. A job that is late
-//! goes by the moment at which its worth is gone: it lets fresh jobs pass at first, and is not
-//! starved by them. Last come those whose worth is gone, which still have to be done.
+//! What a job earns falls when its objective passes and is zero at three times the objective. Steps
+//! of urgent queues come first. The others are ordered by the latest moment at which a step can
+//! start and still meet its job's objective, so that a job with a tight objective passes one with
+//! time to spare. A late job is ordered by the latest start that still earns something: fresh jobs
+//! pass it at first, and cannot starve it. Jobs that earn nothing any more come last; they still
+//! have to be run.
 
-/// Times the objective after which a job earns nothing.
-const WORTHLESS: u64 = 3;
+/// Multiple of the objective after which a job earns nothing.
+const WORTHLESS_FACTOR: u64 = 3;
 
-/// Where a step stands in the queue; lower is served first.
+/// Rank of a step in the queue; lower is served first. Compared field by field, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Its job earns nothing any more.
+    /// The job earns nothing any more.
     pub worthless: bool,
-    /// It is not of an urgent queue.
+    /// The queue is not urgent.
     pub patient: bool,
-    /// Latest start that meets the objective or, once that has passed, that still earns something,
-    /// Unix ms.
-    pub start_by: u64,
-    /// Its job is late.
+    /// Latest start that meets the objective or, for a late job, that still earns something, Unix
+    /// ms.
+    pub latest_start: u64,
+    /// The job is late.
     pub late: bool,
 }
 
-/// What the order depends on.
+/// Inputs of the rank.
 #[derive(Clone, Copy, Debug)]
 pub struct Claim {
     /// Priority of the queue; 0 is urgent.
     pub priority: u32,
-    /// When work could begin, Unix ms.
+    /// When the step could start, Unix ms.
     pub begin: u64,
     /// Objective of the whole job, ms.
     pub objective: u64,
-    /// Longest chain of work from this step to the end, ms.
+    /// Longest chain of work from this step to the end of the job, ms.
     pub chain: u64,
-    /// Time that its room takes to come free, ms.
+    /// Time until the resources it needs are free, ms.
     pub lead: u64,
 }
 
 /// Ranks a step at `now`, Unix ms.
 pub fn rank(c: &Claim, now: u64) -> Rank {
-    let (due, last) = (c.begin + c.objective, c.begin + WORTHLESS * c.objective);
+    let (due, worthless_at) = (c.begin + c.objective, c.begin + WORTHLESS_FACTOR * c.objective);
     let end = now + c.chain;
     let late = end > due;
-    let goal = if late { last } else { due };
+    let deadline = if late { worthless_at } else { due };
     Rank {
-        worthless: end > last,
+        worthless: end > worthless_at,
         patient: c.priority > 0,
-        start_by: goal.saturating_sub(c.chain + c.lead),
+        latest_start: deadline.saturating_sub(c.chain + c.lead),
         late,
     }
 }
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance of the control plane (JSON), checked before it starts.
+//! Settings of one instance of the control plane (JSON); they are checked before it starts.
 
 use super::place::Placement;
 use crate::options::SettingsError;
@@ -14,31 +14,31 @@
     pub id: String,
     /// Its failure domain.
     pub domain: String,
-    /// Where callers reach it.
+    /// Listening address for callers.
     pub front: SocketAddr,
-    /// Where the balancer asks whether it takes new connections.
+    /// Listening address of the readiness check of the load balancer.
     pub ready: SocketAddr,
-    /// Where other instances reach it.
+    /// Listening address of the links of other instances.
     pub links: SocketAddr,
-    /// Where metrics and the state dump are served.
+    /// Listening address of metrics and the state dump.
     pub metrics: SocketAddr,
-    /// Share of a processor that it may use.
+    /// Share of a processor that the instance may use, from 0.001.
     #[serde(default = "whole")]
     pub share: f64,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Whether one transaction of the store may take rows of several parts.
+    /// Whether one transaction of the store may write rows of several partitions.
     #[serde(default)]
     pub cross_part: bool,
-    /// The service that knows queues' policies, if there is one.
+    /// Address of the advice service, if there is one.
     pub advice: Option<SocketAddr>,
-    /// Longest lease that a runner grants, ms.
+    /// Longest lease that a runner grants, ms; at least 1,000.
     pub hold_max_ms: u64,
-    /// Time between the order to stop and the kill, ms.
+    /// Time between a stop order and the kill of a task, ms; at least 1,000.
     pub grace_ms: u64,
-    /// How long ended jobs are answered for, ms.
+    /// Retention of ended jobs, in which their state can be queried, ms; at least 1,000.
     pub keep_ms: u64,
-    /// How runners are chosen: `best-fit`, or `first-fit` or `random` to compare with.
+    /// Placement policy: `best-fit`, or `first-fit` or `random` for comparison.
     #[serde(default)]
     pub placement: Placement,
 }
@@ -48,7 +48,7 @@
 }
 
 impl NodeSettings {
-    /// Thousandths of a processor that it may use.
+    /// [`Self::share`] in thousandths of a processor.
     pub fn millis(&self) -> u64 {
         (self.share * 1_000.0) as u64
     }
@@ -63,14 +63,14 @@
     /// Parses and checks settings.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let s: Self = serde_json::from_str(text)?;
-        let least = |field: &str, value: u64, min: u64| match value < min {
+        let check_min = |field: &str, value: u64, min: u64| match value < min {
             true => Err(SettingsError::Range { field: field.into(), value, min, max: u64::MAX }),
             false => Ok(()),
         };
-        least("share, in thousandths", s.millis(), 1)?;
-        least("hold_max_ms", s.hold_max_ms, 1_000)?;
-        least("grace_ms", s.grace_ms, 1_000)?;
-        least("keep_ms", s.keep_ms, 1_000)?;
+        check_min("share, in thousandths", s.millis(), 1)?;
+        check_min("hold_max_ms", s.hold_max_ms, 1_000)?;
+        check_min("grace_ms", s.grace_ms, 1_000)?;
+        check_min("keep_ms", s.keep_ms, 1_000)?;
         Ok(s)
     }
 }
