--- a/src/control/front.rs
+++ b/src/control/front.rs
@@ -1,7 +1,8 @@
 //! Request handlers of callers: submitting jobs, cancelling them and reading their state.
 //!
-//! Each handler is bounded by the caller's deadline. Without the store it answers from the local
-//! cache and from the leader as far as these suffice, else with an error that says when to retry.
+//! Waits are bounded by the caller's deadline or by fixed timeouts. Without the store, requests are
+//! answered from the local cache and by the leader as far as these suffice, else with an error that
+//! says when to retry.
 
 use super::intake::{Intake, Written};
 use super::links::desk::Desk;
--- a/src/control/intake.rs
+++ b/src/control/intake.rs
@@ -65,7 +65,7 @@
     row: Option<Vec<u8>>,
     until: u64,
     /// The outcome of an earlier try is unknown.
-    unknown: bool,
+    outcome_unknown: bool,
     /// Received from another instance; it must not be relayed again.
     relayed: bool,
     done: oneshot::Sender<Written>,
@@ -145,7 +145,7 @@
     async fn write(&self, job: JobId, row: Option<Vec<u8>>, ms: u64, relayed: bool) -> Written {
         let (done, out) = oneshot::channel();
         let until = self.clock.mono() + ms;
-        let req = Request { job, row, until, unknown: false, relayed, done };
+        let req = Request { job, row, until, outcome_unknown: false, relayed, done };
         let part = &self.parts[rows::job_part_index(job) as usize];
         if part.try_send(req).is_err() {
             log::warn!(job:% = job; "submission queue is full");
@@ -205,9 +205,10 @@
         if self.peer.fresh() {
             return remaining;
         }
-        let (unknown, lost): (Vec<_>, Vec<_>) = remaining.into_iter().partition(|r| r.unknown);
+        let (outcome_unknown, lost): (Vec<_>, Vec<_>) =
+            remaining.into_iter().partition(|r| r.outcome_unknown);
         answer_all(lost, Written::NotStored);
-        answer_all(unknown, Written::Unknown);
+        answer_all(outcome_unknown, Written::Unknown);
         Vec::new()
     }
 
@@ -216,7 +217,7 @@
         let now = self.clock.mono();
         let (remaining, expired): (Vec<_>, Vec<_>) = batch.into_iter().partition(|r| r.until > now);
         for r in expired {
-            let out = if r.unknown { Written::Unknown } else { Written::NotStored };
+            let out = if r.outcome_unknown { Written::Unknown } else { Written::NotStored };
             let _ = r.done.send(out);
         }
         remaining
@@ -235,7 +236,7 @@
             match out {
                 Some(w) if w.stands() => drop(r.done.send(w).is_err()),
                 Some(Written::NotStored) => remaining.push(r),
-                _ => remaining.push(Request { unknown: true, ..r }),
+                _ => remaining.push(Request { outcome_unknown: true, ..r }),
             }
         }
         remaining
@@ -274,17 +275,19 @@
             }
             Err(e) => {
                 self.writes.fails(&e);
-                let unknown = !matches!(e, CommitError::NotDone(_));
-                self.retry_or_relay(batch, unknown).await
+                let outcome_unknown = !matches!(e, CommitError::NotDone(_));
+                self.retry_or_relay(batch, outcome_unknown).await
             }
         }
     }
 
     /// Handles a failed transaction: relays the requests if there is a link, and else delays the
     /// next try.
-    async fn retry_or_relay(&self, batch: Vec<Request>, unknown: bool) -> Vec<Request> {
-        let mut batch: Vec<Request> =
-            batch.into_iter().map(|r| Request { unknown: r.unknown || unknown, ..r }).collect();
+    async fn retry_or_relay(&self, batch: Vec<Request>, outcome_unknown: bool) -> Vec<Request> {
+        let mut batch: Vec<Request> = batch
+            .into_iter()
+            .map(|r| Request { outcome_unknown: r.outcome_unknown || outcome_unknown, ..r })
+            .collect();
         if self.peer.fresh() {
             batch = self.relay(batch).await;
         }
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -22,7 +22,7 @@
     pub links: SocketAddr,
     /// Listening address of metrics and the state dump.
     pub metrics: SocketAddr,
-    /// Share of a processor that the instance may use, from 0.001.
+    /// Share of a processor that the instance may use; at least 0.001, 1.0 by default.
     #[serde(default = "whole")]
     pub share: f64,
     /// Address of the platform's store.
