--- a/tests/platform_decoders.rs
+++ b/tests/platform_decoders.rs
@@ -1,6 +1,6 @@
-//! What the adapter's decoders make of bytes that other programs have written: every field missing,
-//! null, of another type, negative, enormous or in other letters, and bytes that are cut or noise.
-//! Each case says what the decoder must answer: a typed error, or the part that can be read.
+//! Decoders of the platform adapter on invalid input: every field missing, null, of another type,
+//! negative, too large or in other letters, and bytes that are truncated or random. Each case
+//! states the expected result: a typed error, or the part that can be decoded.
 
 use assert_matches::assert_matches;
 use async_std::io::{ReadExt, WriteExt};
@@ -21,57 +21,57 @@
 const TASK: &str = "5c0e7a21d94b36f8.0.1.17";
 const ENDED: &str = "5c0e7a21d94b36f8.0.1.9";
 
-/// Bytes that are no JSON object.
+/// Inputs that are not a JSON object of the expected form.
 const NOISE: [&[u8]; 7] = [b"", b"\xff\xfe", b"{", b"7", b"null", b"{\"version\":", &[0; 64]];
 
-/// A field's value is replaced by one of these.
+/// Ways to corrupt a field: its value is replaced by one of these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Bent {
+enum Case {
     Missing,
     Null,
-    Flag,
-    Text,
-    Other,
+    Bool,
+    Empty,
+    Word,
     List,
     Object,
     Negative,
     Fraction,
-    Past64,
-    Enormous,
+    Beyond64Bits,
+    MaxU64,
 }
 
-const BENT: [Bent; 11] = [
-    Bent::Missing,
-    Bent::Null,
-    Bent::Flag,
-    Bent::Text,
-    Bent::Other,
-    Bent::List,
-    Bent::Object,
-    Bent::Negative,
-    Bent::Fraction,
-    Bent::Past64,
-    Bent::Enormous,
+const CASES: [Case; 11] = [
+    Case::Missing,
+    Case::Null,
+    Case::Bool,
+    Case::Empty,
+    Case::Word,
+    Case::List,
+    Case::Object,
+    Case::Negative,
+    Case::Fraction,
+    Case::Beyond64Bits,
+    Case::MaxU64,
 ];
 
-impl Bent {
+impl Case {
     fn value(self) -> Option<Value> {
         Some(match self {
             Self::Missing => return None,
             Self::Null => Value::Null,
-            Self::Flag => json!(true),
-            Self::Text => json!(""),
-            Self::Other => json!("READY"),
+            Self::Bool => json!(true),
+            Self::Empty => json!(""),
+            Self::Word => json!("READY"),
             Self::List => json!([[]]),
             Self::Object => json!({"a": 1}),
             Self::Negative => json!(-1),
             Self::Fraction => json!(0.5),
-            Self::Past64 => json!(1e30),
-            Self::Enormous => json!(u64::MAX),
+            Self::Beyond64Bits => json!(1e30),
+            Self::MaxU64 => json!(u64::MAX),
         })
     }
 
-    /// `whole` with the field at `path` bent.
+    /// `whole` with the field at `path` corrupted.
     fn apply(self, whole: &Value, path: &str) -> Vec<u8> {
         let mut v = whole.clone();
         let (parent, field) = path.rsplit_once('/').unwrap();
@@ -87,12 +87,12 @@
     }
 }
 
-/// Calls `check` with each way of bending each of the fields.
-fn bend(whole: &Value, paths: &[&str], check: impl Fn(&str, Bent, &[u8])) {
+/// Calls `check` with every corruption of each of the fields.
+fn corrupt_each(whole: &Value, paths: &[&str], check: impl Fn(&str, Case, &[u8])) {
     for path in paths {
         assert!(whole.pointer(path).is_some(), "{path}");
-        for bent in BENT {
-            check(path, bent, &bent.apply(whole, path));
+        for case in CASES {
+            check(path, case, &case.apply(whole, path));
         }
     }
 }
@@ -101,8 +101,8 @@
     v.to_string().into_bytes()
 }
 
-/// A byte of `whole` changed, or all from there on cut off.
-fn damaged(whole: &Value) -> impl Strategy<Value = Vec<u8>> {
+/// `whole` with one byte changed, or truncated at that byte.
+fn corrupted(whole: &Value) -> impl Strategy<Value = Vec<u8>> {
     let whole = bytes(whole);
     let len = whole.len();
     (0..len, any::<u8>(), any::<bool>()).prop_map(move |(at, b, cut)| {
@@ -113,7 +113,7 @@
     })
 }
 
-/// JSON of any shape around the names that the decoders know.
+/// JSON of any shape with the field names that the decoders use.
 fn any_json() -> impl Strategy<Value = Value> {
     let names = [
         "version",
@@ -177,21 +177,22 @@
         })
     }
 
-    /// Symptom: all queues stay as they were, or one orders all others. Sequence: another program
-    /// writes one route with a field missing, of another type or absurd. Cause: the routes
-    /// were read all together, and any number was taken for a time or a factor.
+    /// Guards against one invalid route that keeps all queues from being updated, or whose queue is
+    /// ordered before all others. Another program may write a route with a field missing, of
+    /// another type or out of bounds, so that routes are decoded one by one and durations and
+    /// factors have bounds.
     #[test]
-    fn a_route_that_cannot_be_read_costs_no_other() {
+    fn an_invalid_route_does_not_affect_the_others() {
         let texts =
             ["/routes/0/name", "/routes/0/host", "/routes/0/path_prefix", "/routes/0/service"];
-        bend(&good(), &texts, |path, bent, body| {
+        corrupt_each(&good(), &texts, |path, case, body| {
             let read = catalogue::read(body).unwrap();
             let names: Vec<&str> = read.catalogue.queues.keys().map(String::as_str).collect();
-            match bent {
-                Bent::Other if path.ends_with("name") => assert_eq!(names, ["READY", "b"]),
-                Bent::Other => assert_eq!(names, ["a", "b"], "{path}"),
-                Bent::Text => assert_matches!(read.bad[..], [BadRoute::Empty(_)]),
-                _ => assert_matches!(read.bad[..], [BadRoute::Unreadable(_)], "{path} {bent:?}"),
+            match case {
+                Case::Word if path.ends_with("name") => assert_eq!(names, ["READY", "b"]),
+                Case::Word => assert_eq!(names, ["a", "b"], "{path}"),
+                Case::Empty => assert_matches!(read.bad[..], [BadRoute::Empty(_)]),
+                _ => assert_matches!(read.bad[..], [BadRoute::Unreadable(_)], "{path} {case:?}"),
             }
             assert!(names.contains(&"b") && bounded(&read.catalogue));
         });
@@ -205,58 +206,59 @@
             "/routes/0/recommendation/validity_ms",
         ];
         for (paths, fraction) in [(&numbers[..], false), (&factors[..], true)] {
-            bend(&good(), paths, |path, bent, body| {
+            corrupt_each(&good(), paths, |path, case, body| {
                 let read = catalogue::read(body).unwrap();
-                let holds = bent == Bent::Missing || (fraction && bent == Bent::Fraction);
-                assert_eq!(read.bad.is_empty(), holds, "{path} {bent:?}");
+                let holds = case == Case::Missing || (fraction && case == Case::Fraction);
+                assert_eq!(read.bad.is_empty(), holds, "{path} {case:?}");
                 assert_eq!(read.catalogue.queues.len(), if holds { 2 } else { 1 });
-                assert!(bounded(&read.catalogue), "{path} {bent:?}");
+                assert!(bounded(&read.catalogue), "{path} {case:?}");
             });
         }
-        bend(&good(), &["/routes/0/recommendation"], |_, bent, body| {
+        corrupt_each(&good(), &["/routes/0/recommendation"], |_, case, body| {
             let queues = catalogue::read(body).unwrap().catalogue.queues;
-            match bent {
-                Bent::Missing | Bent::Null => assert_eq!(queues["a"].approval, None),
-                // A policy whose costs are all left out.
-                Bent::Object => assert_eq!(queues["a"].approval.map(|a| a.valid_ms), Some(0)),
-                _ => assert!(!queues.contains_key("a"), "{bent:?}"),
+            match case {
+                Case::Missing | Case::Null => assert_eq!(queues["a"].approval, None),
+                // A policy without costs.
+                Case::Object => assert_eq!(queues["a"].approval.map(|a| a.valid_ms), Some(0)),
+                _ => assert!(!queues.contains_key("a"), "{case:?}"),
             }
         });
-        bend(&good(), &["/routes/0"], |_, bent, body| {
+        corrupt_each(&good(), &["/routes/0"], |_, case, body| {
             let read = catalogue::read(body).unwrap();
-            // Cutting the list at the first route leaves none, which a configuration may have.
-            let left = if bent == Bent::Missing { (0, 0) } else { (1, 1) };
-            assert_eq!((read.catalogue.queues.len(), read.bad.len()), left, "{bent:?}");
+            // Truncating the list at the first route leaves none, which is a valid configuration.
+            let left = if case == Case::Missing { (0, 0) } else { (1, 1) };
+            assert_eq!((read.catalogue.queues.len(), read.bad.len()), left, "{case:?}");
         });
     }
 
     #[test]
-    fn the_first_of_two_routes_of_one_name_holds() {
+    fn the_first_of_two_routes_with_one_name_holds() {
         let mut two = good();
         two["routes"][1]["name"] = json!("a");
         let read = catalogue::read(&bytes(&two)).unwrap();
-        assert_eq!(read.bad, [BadRoute::Twice("a".into())]);
+        assert_eq!(read.bad, [BadRoute::Duplicate("a".into())]);
         assert_eq!(read.catalogue.queues["a"].prefix, "/x/");
     }
 
-    /// Symptom: no request finds its queue, or no later configuration comes into force.
-    /// Sequence: a row that is no configuration, or with a version that nothing exceeds, is
-    /// taken for the newest one. Cause: no bound, and no difference between empty and unreadable.
+    /// Guards against an invalid configuration that replaces the current one: a row that is not a
+    /// configuration, after which no request finds its queue, or a version so high that no later
+    /// configuration comes into force. An empty configuration differs from one that cannot be
+    /// decoded.
     #[test]
-    fn a_configuration_that_cannot_be_read_leaves_the_last_one_in_force() {
-        bend(&good(), &["/version"], |_, bent, body| match bent {
-            Bent::Enormous => assert_matches!(catalogue::read(body), Err(BadCatalogue::Version(_))),
+    fn an_invalid_configuration_is_rejected() {
+        corrupt_each(&good(), &["/version"], |_, case, body| match case {
+            Case::MaxU64 => assert_matches!(catalogue::read(body), Err(BadCatalogue::Version(_))),
             _ => {
-                assert_matches!(catalogue::read(body), Err(BadCatalogue::Unreadable(_)), "{bent:?}")
+                assert_matches!(catalogue::read(body), Err(BadCatalogue::Unreadable(_)), "{case:?}")
             }
         });
-        bend(&good(), &["/routes"], |_, bent, body| match bent {
-            Bent::Missing => assert!(catalogue::read(body).unwrap().catalogue.queues.is_empty()),
-            Bent::List => {
+        corrupt_each(&good(), &["/routes"], |_, case, body| match case {
+            Case::Missing => assert!(catalogue::read(body).unwrap().catalogue.queues.is_empty()),
+            Case::List => {
                 assert_matches!(catalogue::read(body), Err(BadCatalogue::Routes { count: 1, .. }));
             }
             _ => {
-                assert_matches!(catalogue::read(body), Err(BadCatalogue::Unreadable(_)), "{bent:?}")
+                assert_matches!(catalogue::read(body), Err(BadCatalogue::Unreadable(_)), "{case:?}")
             }
         });
         for body in NOISE {
@@ -268,7 +270,7 @@
 
     proptest! {
         #[test]
-        fn damage_yields_an_error_or_queues_within_bounds(body in damaged(&good())) {
+        fn corrupted_bytes_yield_an_error_or_queues_within_bounds(body in corrupted(&good())) {
             if let Ok(read) = catalogue::read(&body) {
                 prop_assert!(bounded(&read.catalogue));
             }
@@ -310,11 +312,11 @@
         job.check().is_ok() && job.steps.iter().all(step) && last
     }
 
-    /// Symptom: one caller's job stops the scheduler, or throws the order of all others over.
-    /// Sequence: a job asks for 2^64 - 1 thousandths of a core, or is estimated at 10^30 ms or at
-    /// -1 ms; sums over what waits overflow. Cause: any number was taken, negative times for 0.
+    /// Guards against a job that stops the scheduler or distorts the order of all others: one that
+    /// requests 2^64 - 1 thousandths of a core, or is estimated at 10^30 ms or at -1 ms. Sums over
+    /// the waiting jobs would overflow.
     #[test]
-    fn every_field_is_refused_or_within_bounds() {
+    fn every_invalid_field_is_refused_or_within_bounds() {
         let good = good();
         let texts = ["/spec", "/phases/1/requires", "/phases/1/data_locality", "/phases/1/image"];
         let flags =
@@ -332,30 +334,30 @@
             "/phases/1/gpu",
         ];
         let times = ["/phases/1/estimate_ms", "/phases/1/target_ms"];
-        let kinds: [(&[&str], &[Bent]); 4] = [
-            (&texts, &[Bent::Missing, Bent::Text, Bent::Other]),
-            (&flags, &[Bent::Missing, Bent::Flag]),
-            (&counts, &[Bent::Missing]),
-            (&times, &[Bent::Missing, Bent::Fraction]),
+        let kinds: [(&[&str], &[Case]); 4] = [
+            (&texts, &[Case::Missing, Case::Empty, Case::Word]),
+            (&flags, &[Case::Missing, Case::Bool]),
+            (&counts, &[Case::Missing]),
+            (&times, &[Case::Missing, Case::Fraction]),
         ];
         for (paths, accepted) in kinds {
-            bend(&good, paths, |path, bent, body| {
+            corrupt_each(&good, paths, |path, case, body| {
                 let got = callers::job(body);
-                assert_eq!(got.is_ok(), accepted.contains(&bent), "{path} {bent:?} {got:?}");
-                assert!(got.is_ok_and(|job| bounded(&job)) || !accepted.contains(&bent));
+                assert_eq!(got.is_ok(), accepted.contains(&case), "{path} {case:?} {got:?}");
+                assert!(got.is_ok_and(|job| bounded(&job)) || !accepted.contains(&case));
             });
         }
-        bend(&good, &["/phases/1/after"], |_, bent, body| {
-            assert_eq!(callers::job(body).is_ok(), bent == Bent::Missing, "{bent:?}");
+        corrupt_each(&good, &["/phases/1/after"], |_, case, body| {
+            assert_eq!(callers::job(body).is_ok(), case == Case::Missing, "{case:?}");
         });
-        bend(&good, &["/phases/1/count", "/phases/1", "/phases"], |path, bent, body| {
-            let left = path == "/phases/1" && bent == Bent::Missing;
-            assert_eq!(callers::job(body).is_ok(), left, "{path} {bent:?}");
+        corrupt_each(&good, &["/phases/1/count", "/phases/1", "/phases"], |path, case, body| {
+            let left = path == "/phases/1" && case == Case::Missing;
+            assert_eq!(callers::job(body).is_ok(), left, "{path} {case:?}");
         });
     }
 
     #[test]
-    fn what_is_wrong_is_named() {
+    fn errors_name_the_invalid_field() {
         let with = |path: &str, v: Value| {
             let mut body = good();
             *body.pointer_mut(path).unwrap() = v;
@@ -380,7 +382,7 @@
         for body in NOISE {
             assert_matches!(callers::job(body), Err(Invalid::Body(_)));
         }
-        // Names are read as they are written: a field in other letters is one that is not known.
+        // Names are case-sensitive: a field in other letters is an unknown field.
         let other = good().to_string().replace("phases", "Phases");
         assert_matches!(callers::job(other.as_bytes()), Err(Invalid::Steps));
         let twice = br#"{"phases":[{"count":1,"count":2}]}"#;
@@ -391,7 +393,7 @@
 
     proptest! {
         #[test]
-        fn damage_yields_an_error_or_a_job_within_bounds(body in damaged(&good())) {
+        fn corrupted_bytes_yield_an_error_or_a_job_within_bounds(body in corrupted(&good())) {
             prop_assert!(callers::job(&body).map_or(true, |job| bounded(&job)));
         }
 
@@ -404,7 +406,7 @@
     }
 }
 
-mod a_runners_answer {
+mod a_runner_response {
     use super::*;
 
     fn good() -> Value {
@@ -413,7 +415,7 @@
             "finished": [[58, ENDED, 1, "done", ""], [59, TASK, 1, "failed", "c"]]})
     }
 
-    fn bounded(read: &reports::Read) -> bool {
+    fn bounded(read: &reports::Decoded) -> bool {
         let r = &read.report;
         let runs = r.active.iter().all(|a| {
             let percent = a.percent == 0.0 || (0.01..=100.0).contains(&a.percent);
@@ -425,37 +427,37 @@
     }
 
     #[test]
-    fn a_whole_answer_is_read() {
+    fn a_complete_response_is_decoded() {
         let read = reports::report(&bytes(&good())).unwrap();
         assert_eq!((read.report.clock, read.bad.len()), (482_113, 0));
         let run = &read.report.active[0];
         assert_eq!((run.attempt, run.percent, run.load), (Attempt(2), 41.0, 0.5));
         let kinds: Vec<EndKind> = read.report.ends.iter().map(|e| e.kind).collect();
         assert_eq!(kinds, [EndKind::Done, EndKind::Failed]);
-        let bare =
+        let minimal =
             json!({"clock_ms": 1, "active": [[TASK, 1]], "finished": [[1, TASK, 1, "done"]]});
-        let read = reports::report(&bytes(&bare)).unwrap();
+        let read = reports::report(&bytes(&minimal)).unwrap();
         assert_eq!((read.report.active.len(), read.report.ends.len()), (1, 1));
-        // A later version of the protocol may add figures to an entry.
-        let more = json!({"clock_ms": 1, "active": [[TASK, 1, "", 3, 0.1, "new"]]});
-        assert_eq!(reports::report(&bytes(&more)).unwrap().report.active.len(), 1);
+        // A later version of the protocol may add values to an entry.
+        let extended = json!({"clock_ms": 1, "active": [[TASK, 1, "", 3, 0.1, "new"]]});
+        assert_eq!(reports::report(&bytes(&extended)).unwrap().report.active.len(), 1);
     }
 
-    /// Symptom: a task runs twice. Sequence: a runner lists a run in a way that cannot be read; the
-    /// run is left out of the list; what is not listed counts as gone and is started elsewhere.
-    /// Cause: entries that could not be read were dropped without a word. Now the whole
-    /// answer counts as none, but for runs of tasks that cannot be ours.
+    /// Guards against a task that runs twice. A run that a runner does not list is considered gone
+    /// and started on another runner; if an active run that cannot be decoded were left out of the
+    /// list, its task would be started again. The whole response is an error, except for runs whose
+    /// task is not a valid id.
     #[test]
-    fn a_run_that_cannot_be_read_is_never_left_out() {
-        bend(&good(), &["/active/0/0", "/active/0/1"], |path, bent, body| {
+    fn an_active_run_that_cannot_be_decoded_is_never_left_out() {
+        corrupt_each(&good(), &["/active/0/0", "/active/0/1"], |path, case, body| {
             let got = reports::report(body);
-            match bent {
-                Bent::Text | Bent::Other if path.ends_with("/0") => {
+            match case {
+                Case::Empty | Case::Word if path.ends_with("/0") => {
                     let read = got.unwrap();
                     assert!(read.report.active.is_empty() && read.report.ends.len() == 2);
                     assert_matches!(read.bad[..], [BadItem::Task(_)]);
                 }
-                _ => assert_matches!(got, Err(BadReport::Active(_)), "{path} {bent:?}"),
+                _ => assert_matches!(got, Err(BadReport::Active(_)), "{path} {case:?}"),
             }
         });
         for attempt in [json!(0), json!(Attempt::LAST + 1), json!(u32::MAX), json!(1u64 << 32)] {
@@ -469,14 +471,18 @@
         }
     }
 
-    /// What is only said of a run besides does not cost the run.
+    /// Invalid checkpoints, progress and load do not make the run invalid.
     #[test]
-    fn checkpoint_progress_and_load_are_read_as_far_as_they_can_be() {
-        bend(&good(), &["/active/0/2", "/active/0/3", "/active/0/4"], |path, bent, body| {
-            let read = reports::report(body).unwrap();
-            assert!(bounded(&read) && read.bad.is_empty(), "{path} {bent:?}");
-            assert_eq!(read.report.active.len(), 1, "{path} {bent:?}");
-        });
+    fn invalid_checkpoint_progress_and_load_are_ignored() {
+        corrupt_each(
+            &good(),
+            &["/active/0/2", "/active/0/3", "/active/0/4"],
+            |path, case, body| {
+                let read = reports::report(body).unwrap();
+                assert!(bounded(&read) && read.bad.is_empty(), "{path} {case:?}");
+                assert_eq!(read.report.active.len(), 1, "{path} {case:?}");
+            },
+        );
         let percent = |p: Value| {
             let body = json!({"clock_ms": 1, "active": [[TASK, 1, "", p]]});
             reports::report(&bytes(&body)).unwrap().report.active[0].percent
@@ -485,41 +491,40 @@
         assert_eq!(given.map(percent), [0.0, 0.0, 0.0, 0.5, 100.0, 100.0]);
     }
 
-    /// Symptom: the end of one task is lost, or those of all others with it. Sequence: one entry
-    /// of the ends has a field missing, of another type or absurd. Cause: such an entry either
-    /// failed the whole answer or vanished without a line in the log.
+    /// Guards against a completion that cannot be decoded and makes the whole response an error, or
+    /// is dropped without a log line, when one of its fields is missing, of another type or out of
+    /// bounds.
     #[test]
-    fn an_end_that_cannot_be_read_costs_no_other() {
+    fn an_invalid_completion_does_not_affect_the_others() {
         let paths = ["/finished/0/0", "/finished/0/1", "/finished/0/2", "/finished/0/3"];
-        bend(&good(), &paths, |path, bent, body| {
+        corrupt_each(&good(), &paths, |path, case, body| {
             let read = reports::report(body).unwrap();
             assert!(bounded(&read));
-            // Cutting the entry short at its last field but one leaves none of those checked.
-            assert_eq!(read.bad.len(), 1, "{path} {bent:?}");
-            assert_eq!(read.report.ends.len(), 1, "{path} {bent:?}");
+            // Truncating the entry at any of these fields makes it invalid.
+            assert_eq!(read.bad.len(), 1, "{path} {case:?}");
+            assert_eq!(read.report.ends.len(), 1, "{path} {case:?}");
             assert_eq!(read.report.ends[0].number, 59);
             assert_eq!(read.report.active.len(), 1);
         });
-        bend(&good(), &["/finished/0/4"], |_, bent, body| {
+        corrupt_each(&good(), &["/finished/0/4"], |_, case, body| {
             let read = reports::report(body).unwrap();
-            assert_eq!((read.report.ends.len(), read.bad.len()), (2, 0), "{bent:?}");
+            assert_eq!((read.report.ends.len(), read.bad.len()), (2, 0), "{case:?}");
         });
-        bend(&good(), &["/finished/0"], |_, bent, body| {
+        corrupt_each(&good(), &["/finished/0"], |_, case, body| {
             let read = reports::report(body).unwrap();
-            let left = if bent == Bent::Missing { (0, 0) } else { (1, 1) };
-            assert_eq!((read.report.ends.len(), read.bad.len()), left, "{bent:?}");
+            let left = if case == Case::Missing { (0, 0) } else { (1, 1) };
+            assert_eq!((read.report.ends.len(), read.bad.len()), left, "{case:?}");
         });
         for how in ["DONE", "Done", "finished", " done"] {
             let body = json!({"clock_ms": 1, "finished": [[1, TASK, 1, how, ""]]});
-            assert_eq!(reports::report(&bytes(&body)).unwrap().bad, [BadItem::How]);
+            assert_eq!(reports::report(&bytes(&body)).unwrap().bad, [BadItem::Outcome]);
         }
     }
 
-    /// Symptom: the scheduler looks at one runner a thousand times a second. Sequence: the runner
-    /// lists one end, which cannot be read; it is not acknowledged, so that the runner answers each
-    /// look at once. Cause: nothing stood between two looks that brought no end.
+    /// Guards against polls of one runner a thousand times a second: a completion that cannot be
+    /// decoded is not acknowledged, so that the runner answers each poll at once.
     #[test]
-    fn a_look_that_shows_only_unreadable_ends_takes_its_time() {
+    fn a_poll_with_only_invalid_completions_is_delayed() {
         async_std::task::block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let addr = listener.local_addr().unwrap();
@@ -542,11 +547,11 @@
         });
     }
 
-    /// Symptom: ends are never taken in. Sequence: ends are listed out of order, or two with one
-    /// number; those at or below the highest number seen count as known. Cause: the list was
-    /// taken to be in order.
+    /// Guards against completions that are never processed: those at or below the highest number
+    /// seen count as known, so that a list out of order, or with one number twice, has to be sorted
+    /// and checked first.
     #[test]
-    fn ends_are_read_in_the_order_of_their_numbers() {
+    fn completions_are_sorted_by_number() {
         let list = [7, 5, 6, 6, 0].map(|n| json!([n, TASK, n + 1, "failed", ""]));
         let read = reports::report(&bytes(&json!({"clock_ms": 1, "finished": list}))).unwrap();
         let numbers: Vec<u64> = read.report.ends.iter().map(|e| e.number).collect();
@@ -554,21 +559,21 @@
     }
 
     #[test]
-    fn an_answer_without_a_clock_or_lists_is_none() {
-        bend(&good(), &["/clock_ms"], |_, bent, body| match bent {
-            Bent::Enormous => assert_matches!(reports::report(body), Err(BadReport::Clock)),
-            _ => assert_matches!(reports::report(body), Err(BadReport::Unreadable(_)), "{bent:?}"),
+    fn a_response_without_a_clock_or_lists_is_an_error() {
+        corrupt_each(&good(), &["/clock_ms"], |_, case, body| match case {
+            Case::MaxU64 => assert_matches!(reports::report(body), Err(BadReport::Clock)),
+            _ => assert_matches!(reports::report(body), Err(BadReport::Unreadable(_)), "{case:?}"),
         });
-        bend(&good(), &["/active", "/finished"], |path, bent, body| match bent {
-            Bent::Missing => assert!(reports::report(body).is_ok()),
-            Bent::List if path == "/active" => {
+        corrupt_each(&good(), &["/active", "/finished"], |path, case, body| match case {
+            Case::Missing => assert!(reports::report(body).is_ok()),
+            Case::List if path == "/active" => {
                 assert_matches!(reports::report(body), Err(BadReport::Active(BadItem::NoTask)));
             }
-            Bent::List => assert_eq!(reports::report(body).unwrap().bad, [BadItem::Number]),
+            Case::List => assert_eq!(reports::report(body).unwrap().bad, [BadItem::Number]),
             _ => assert_matches!(
                 reports::report(body),
                 Err(BadReport::Unreadable(_)),
-                "{path} {bent:?}"
+                "{path} {case:?}"
             ),
         });
         for body in NOISE {
@@ -576,9 +581,9 @@
         }
     }
 
-    /// A refusal that is not understood must not pass for one after which nothing runs.
+    /// An unknown refusal must not be decoded as one after which nothing runs.
     #[test]
-    fn answers_to_orders_are_known_or_count_as_none() {
+    fn unknown_responses_to_orders_count_as_no_response() {
         assert_eq!(reports::order(200, br#"{"clock_ms":5}"#), Ok(5));
         let known = [
             ("fence", Refusal::Fenced),
@@ -593,15 +598,15 @@
             let other = json!({"clock_ms": 5, "reason": reason.to_uppercase()});
             assert_eq!(reports::order(409, &bytes(&other)), Err(Refusal::NoAnswer));
         }
-        bend(&json!({"clock_ms": 5}), &["/clock_ms"], |_, bent, body| {
-            assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer), "{bent:?}");
+        corrupt_each(&json!({"clock_ms": 5}), &["/clock_ms"], |_, case, body| {
+            assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer), "{case:?}");
         });
         let refused = json!({"clock_ms": 5, "reason": "room"});
-        bend(&refused, &["/reason"], |_, bent, body| {
-            assert_eq!(reports::order(409, body), Err(Refusal::NoAnswer), "{bent:?}");
+        corrupt_each(&refused, &["/reason"], |_, case, body| {
+            assert_eq!(reports::order(409, body), Err(Refusal::NoAnswer), "{case:?}");
         });
-        bend(&refused, &["/clock_ms"], |_, bent, body| {
-            assert_eq!(reports::order(409, body), Err(Refusal::NoRoom), "{bent:?}");
+        corrupt_each(&refused, &["/clock_ms"], |_, case, body| {
+            assert_eq!(reports::order(409, body), Err(Refusal::NoRoom), "{case:?}");
         });
         for body in NOISE {
             assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer));
@@ -611,7 +616,7 @@
 
     proptest! {
         #[test]
-        fn damage_yields_an_error_or_a_report_within_bounds(body in damaged(&good())) {
+        fn corrupted_bytes_yield_an_error_or_a_report_within_bounds(body in corrupted(&good())) {
             if let Ok(read) = reports::report(&body) {
                 prop_assert!(bounded(&read));
             }
@@ -644,11 +649,11 @@
         json!({"approved": [["w1", "t1"], ["w2", "t2"]], "validity_ms": 1500})
     }
 
-    fn read(body: &[u8]) -> Result<advice::Read, AdviceError> {
+    fn read(body: &[u8]) -> Result<advice::Decoded, AdviceError> {
         advice::decode(body, &asked())
     }
 
-    fn bounded(read: &advice::Read) -> bool {
+    fn bounded(read: &advice::Decoded) -> bool {
         let known = |t: &currantgw::control::ports::Ticket| asked().contains(&t.id);
         let approved = &read.advice.approved;
         approved.iter().all(|t| known(t) && !t.ticket.is_empty())
@@ -657,54 +662,59 @@
     }
 
     #[test]
-    fn a_row_that_cannot_be_read_approves_nothing_and_the_others_hold() {
-        bend(&good(), &["/approved/0/0", "/approved/0/1", "/approved/0"], |path, bent, body| {
-            let got = read(body).unwrap();
-            assert!(bounded(&got));
-            match (path, bent) {
-                ("/approved/0/1", Bent::Other) => assert_eq!(got.advice.approved.len(), 2),
-                // Cutting the list at its first row leaves an answer that approves none.
-                ("/approved/0", Bent::Missing) => assert!(got.advice.approved.is_empty()),
-                ("/approved/0/0", Bent::Other) => assert_eq!(got.bad, [BadApproval::NotAsked]),
-                _ => assert_eq!(got.bad, [BadApproval::Unreadable], "{path} {bent:?}"),
-            }
-        });
-        bend(&good(), &["/approved"], |_, bent, body| match bent {
-            Bent::Missing => assert!(read(body).unwrap().advice.approved.is_empty()),
-            _ => assert_eq!(read(body), Err(AdviceError::Malformed), "{bent:?}"),
+    fn an_invalid_row_approves_nothing_and_the_others_hold() {
+        corrupt_each(
+            &good(),
+            &["/approved/0/0", "/approved/0/1", "/approved/0"],
+            |path, case, body| {
+                let got = read(body).unwrap();
+                assert!(bounded(&got));
+                match (path, case) {
+                    ("/approved/0/1", Case::Word) => assert_eq!(got.advice.approved.len(), 2),
+                    // Truncating the list at its first row leaves a response without approvals.
+                    ("/approved/0", Case::Missing) => assert!(got.advice.approved.is_empty()),
+                    ("/approved/0/0", Case::Word) => {
+                        assert_eq!(got.bad, [BadApproval::NotRequested])
+                    }
+                    _ => assert_eq!(got.bad, [BadApproval::Unreadable], "{path} {case:?}"),
+                }
+            },
+        );
+        corrupt_each(&good(), &["/approved"], |_, case, body| match case {
+            Case::Missing => assert!(read(body).unwrap().advice.approved.is_empty()),
+            _ => assert_eq!(read(body), Err(AdviceError::Malformed), "{case:?}"),
         });
         for body in NOISE {
             assert_eq!(read(body), Err(AdviceError::Malformed));
         }
     }
 
-    /// Symptom: the list of runners grows with names that are no runner's, and more runners are
-    /// approved than were asked about. Sequence: the service names others, or one twice. Cause: rows
-    /// were taken as they came.
+    /// Guards against approvals of runners that the request did not name, which would be added to
+    /// the known runners, and against a runner that is approved twice.
     #[test]
-    fn only_runners_that_were_asked_about_are_approved_each_once() {
+    fn only_runners_of_the_request_are_approved_each_once() {
         let rows = json!({"approved": [["w9", "t"], ["w2", "a"], ["w2", "b"], ["W1", "t"]]});
         let got = read(&bytes(&rows)).unwrap();
-        assert_eq!(got.bad, [BadApproval::NotAsked; 2]);
+        assert_eq!(got.bad, [BadApproval::NotRequested; 2]);
         assert_eq!(got.advice.approved.len(), 1);
         let none = json!({"approved": [["w9", "t"]]});
         assert_eq!(read(&bytes(&none)), Err(AdviceError::Malformed));
     }
 
-    /// Symptom: the scheduler stops, or a ticket never ends. Sequence: the service says that
-    /// tickets are good for 10^30 ms, and the end of that time overflows. Cause: any number was taken.
+    /// Guards against an overflow of the expiry time of tickets, which stops the scheduler or makes
+    /// a ticket valid forever, when the service sends a validity of 10^30 ms.
     #[test]
-    fn a_life_of_tickets_that_makes_no_sense_counts_as_not_given() {
-        bend(&good(), &["/validity_ms"], |_, bent, body| {
+    fn an_invalid_validity_of_tickets_counts_as_not_given() {
+        corrupt_each(&good(), &["/validity_ms"], |_, case, body| {
             let got = read(body).unwrap();
-            assert_eq!(got.advice.approved.len(), 2, "{bent:?}");
-            assert_eq!(got.advice.valid_ms, 0, "{bent:?}");
+            assert_eq!(got.advice.approved.len(), 2, "{case:?}");
+            assert_eq!(got.advice.valid_ms, 0, "{case:?}");
         });
     }
 
     proptest! {
         #[test]
-        fn damage_yields_an_error_or_approvals_within_bounds(body in damaged(&good())) {
+        fn corrupted_bytes_yield_an_error_or_approvals_within_bounds(body in corrupted(&good())) {
             if let Ok(got) = read(&body) {
                 prop_assert!(bounded(&got));
             }
--- a/tests/platform_entries.rs
+++ b/tests/platform_entries.rs
@@ -1,4 +1,5 @@
-//! Registry entries that another program has written: each names no runner, and the others hold.
+//! Invalid registry entries, as other programs may write them: each names no runner and does not
+//! affect the others.
 
 use assert_matches::assert_matches;
 use async_std::io::{ReadExt, WriteExt};
@@ -24,21 +25,20 @@
 }
 
 #[test]
-fn a_whole_entry_names_a_runner() {
+fn a_complete_entry_names_a_runner() {
     assert_eq!(entry(&good()), Ok(()));
     let mut leaving = good();
     leaving["state"] = json!("draining");
     assert!(runners::entry(leaving.to_string().as_bytes()).unwrap().draining);
-    let mut bare = good();
-    bare.as_object_mut().unwrap().remove("labels");
-    assert_eq!(entry(&bare), Ok(()));
+    let mut minimal = good();
+    minimal.as_object_mut().unwrap().remove("labels");
+    assert_eq!(entry(&minimal), Ok(()));
 }
 
-/// Symptom: tasks go to an address that is no runner's, or a runner without end takes everything.
-/// Sequence: another program writes an entry with a field missing, of another type or absurd.
-/// Cause: fields taken for what they should be.
+/// Guards against tasks that are sent to an address without a runner, or all to one runner of
+/// unlimited capacity, because of an entry with a field missing, of another type or out of bounds.
 #[test]
-fn no_field_that_matters_may_be_missing_or_of_another_type() {
+fn required_fields_must_be_present_and_of_their_type() {
     let values = [
         json!(null),
         json!(true),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn bytes_that_cannot_be_read_name_no_runner() {
+fn bytes_that_cannot_be_decoded_name_no_runner() {
     for body in [&b""[..], b"\xff\xfe", b"{", b"[]", b"7", b"{\"service\":\"svc\"", &[0; 64]] {
         assert_matches!(runners::entry(body), Err(BadEntry::Unreadable(_)));
     }
@@ -90,22 +90,22 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(body in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_decoded_or_refused(body in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = runners::entry(&body);
     }
 
     #[test]
-    fn any_cut_of_an_entry_is_refused(at in 0usize..150) {
+    fn a_truncated_entry_is_refused(at in 0usize..150) {
         let whole = good().to_string();
-        let cut = &whole.as_bytes()[..at.min(whole.len() - 1)];
-        prop_assert!(runners::entry(cut).is_err());
+        let truncated = &whole.as_bytes()[..at.min(whole.len() - 1)];
+        prop_assert!(runners::entry(truncated).is_err());
     }
 }
 
-/// Symptom: an instance finds no runner at all. Sequence: one row of the registry has a value that is
-/// not in the store's encoding. Cause: the whole answer was refused for that row.
+/// Guards against an instance that finds no runner at all because one row of the registry has a
+/// value that is not in the encoding of the store.
 #[test]
-fn a_value_that_cannot_be_decoded_costs_no_other_row() {
+fn a_value_that_cannot_be_decoded_does_not_affect_other_rows() {
     async_std::task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
