--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -1,6 +1,6 @@
-//! The entry's HTTP API: catalogue edits, job submission, status and cancellation, lookups and
-//! writes. Every refusal has a typed body and, where coming back can help, `Retry-After`; a
-//! request given up on is answered at once, never held until its deadline.
+//! HTTP API of the entry instance: catalogue edits, job submission, status and cancellation,
+//! lookups and writes. Every refusal has a typed body and, where a retry can succeed, a
+//! `Retry-After` header. A request that cannot succeed is answered at once, not at its deadline.
 
 use crate::admin;
 use crate::entry::catalogue::{self, EditError};
@@ -19,28 +19,29 @@
 
 type State = Arc<Entry>;
 
-/// When to come back while an instance starts, ms.
+/// Retry delay sent to callers while an instance starts or its ledger accepts no record, ms.
 const RETRY_MS: u64 = 500;
 
-/// The body of every error answer of the entry.
+/// Body of the entry's error answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ApiError {
-    /// Kind: `bad_request`, `invalid`, `conflict`, `not_run`, `not_found`, `unavailable`,
+    /// Kind of error: `bad_request`, `invalid`, `conflict`, `not_run`, `not_found`, `unavailable`,
     /// `timeout`, `busy`, `unknown` (a write that may have run).
     pub error: String,
-    /// What went wrong.
+    /// Error text.
     pub detail: String,
-    /// When to come back, ms.
+    /// Delay before a retry, ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_ms: Option<u64>,
-    /// The catalogue version in force, on a conflict.
+    /// Current catalogue version, for `conflict` on a catalogue edit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<u64>,
-    /// The job, for `not_run`.
+    /// The refused job, for `not_run` after it was stored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub job: Option<JobRow>,
 }
 
+/// Builds an error answer.
 fn fail(status: u16, error: &str, detail: impl ToString, retry_ms: Option<u64>) -> Response {
     let body = ApiError {
         error: error.into(),
@@ -51,6 +52,7 @@
     admin::with_retry(admin::json(status, &body), retry_ms)
 }
 
+/// Builds the answer to a failed call of the platform.
 fn platform(e: &PlatformError) -> Response {
     let retry = match e {
         PlatformError::Throttled { retry_ms } => *retry_ms,
@@ -59,13 +61,13 @@
     fail(503, "unavailable", e, Some(retry))
 }
 
-/// Reads a JSON body; malformed JSON or unknown fields are a typed 400 and change nothing.
+/// Reads a JSON body. Malformed JSON or an unknown field leads to a typed 400 and changes nothing.
 async fn body<B: DeserializeOwned>(req: &mut Request<State>) -> Result<B, Response> {
     let text = req.body_string().await.map_err(|e| fail(400, "bad_request", e, None))?;
     serde_json::from_str(&text).map_err(|e| fail(400, "bad_request", e, None))
 }
 
-/// A POST whose JSON body is a `B`, which `f` answers.
+/// Handles a POST request with a JSON body of type `B` through `f`.
 async fn post<B: DeserializeOwned, F: Future<Output = Response>>(
     mut req: Request<State>,
     f: impl FnOnce(State, B) -> F,
@@ -79,7 +81,7 @@
 async fn edit(e: State, edit: catalogue::Edit) -> Response {
     match catalogue::commit(&e.platform, &edit).await {
         Ok(version) => {
-            // Bring this instance up to date at once; the others follow within watch_ms.
+            // Updates this instance at once; the others follow within `watch_ms`.
             e.refresh_catalogue().await;
             admin::json(200, &serde_json::json!({ "version": version }))
         }
@@ -104,8 +106,8 @@
     };
     let mut cat = e.catalogue();
     if !cat.entries.contains_key(&spec.entry) {
-        // An entry accepted on another instance a moment ago may not have reached this one:
-        // read the catalogue once before saying "no such entry".
+        // An entry just accepted on another instance may not have reached this one, so the
+        // catalogue is read once before the job is refused.
         cat = e.refresh_catalogue().await;
     }
     let rooms = e.rooms.lock().unwrap().clone();
@@ -129,6 +131,7 @@
     }
 }
 
+/// Builds the answer to the submission of a job that was stored as refused.
 fn not_run(row: JobRow) -> Response {
     let detail = match &row.state {
         JobState::Refused { reason } => reason.clone(),
@@ -140,19 +143,19 @@
     )
 }
 
-/// `POST /jobs/status` body.
+/// Body of `POST /jobs/status`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StatusReq {
-    /// Job ids.
+    /// Ids of the jobs to return.
     pub ids: Vec<String>,
 }
 
-async fn status(e: State, asked: StatusReq) -> Response {
-    let keys = asked.ids.iter().map(|id| rows::job_key(id)).collect();
+async fn status(e: State, req: StatusReq) -> Response {
+    let keys = req.ids.iter().map(|id| rows::job_key(id)).collect();
     match e.platform.get(keys).await {
-        Ok(got) => {
-            let jobs: Vec<JobRow> = got.values().filter_map(|r| rows::decode(&r.value)).collect();
+        Ok(found) => {
+            let jobs: Vec<JobRow> = found.values().filter_map(|r| rows::decode(&r.value)).collect();
             admin::json(200, &jobs)
         }
         Err(p) => platform(&p),
@@ -174,7 +177,8 @@
     let id = req.param("id")?.to_string();
     Ok(match jobs::cancel(&e.platform, &e.clock, &id).await {
         Ok((row, stops)) => {
-            // Only to be quick: the shard's holder sends them again until the end is reported.
+            // Shortens the delay only; the shard's holder sends the stops until the completions are
+            // reported.
             if !stops.is_empty() {
                 let _ = e.platform.stop(stops).await;
             }
@@ -213,17 +217,17 @@
     })
 }
 
-/// Longest write id.
+/// Longest id of a write, in bytes.
 const MAX_WRITE_ID: usize = 128;
 
-/// `POST /write` body.
+/// Body of `POST /write`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WriteReq {
-    /// The write's id, 1 to 128 bytes; the same id runs at most once, a repeat gets the first
-    /// outcome.
+    /// Id of the write, 1 to 128 bytes without a slash. A write runs at most once per id; a repeat
+    /// gets the first outcome.
     pub id: String,
-    /// Payload.
+    /// Payload for the runner.
     pub body: String,
 }
 
@@ -248,7 +252,7 @@
     Ok(admin::json(if ready { 200 } else { 503 }, &serde_json::json!({ "ready": ready })))
 }
 
-/// The entry's HTTP application.
+/// Builds the HTTP application of the entry.
 pub fn app(e: Arc<Entry>) -> tide::Server<State> {
     let mut app = tide::with_state(e);
     app.at("/catalogue")
--- a/src/entry/catalogue.rs
+++ b/src/entry/catalogue.rs
@@ -1,6 +1,6 @@
-//! The catalogue: entries that name an owner, a team, a class of work and its limits. Each
-//! accepted edit gets the next version by a conditional write; instances follow by version,
-//! never apply a lower one, and keep serving the last one while the table is down.
+//! The catalogue: entries with an owner, a team, a class of work and its limits. Each accepted edit
+//! gets the next version by a conditional write. Instances update to later versions only, and keep
+//! the last one while the table is unavailable.
 
 use crate::entry::rows::{self, CatVersion};
 use crate::kernel::res::{Class, Resources};
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest entry name.
+/// Longest name of an entry, owner or team, in bytes.
 pub const MAX_NAME: usize = 128;
 
-/// Most log rows read to catch up; further behind, the whole catalogue is read.
+/// Most log rows read to catch up. An instance that is further behind reads the whole catalogue.
 pub const MAX_DELTA: u64 = 64;
 
 /// One catalogue entry.
@@ -21,28 +21,28 @@
 pub struct CatEntry {
     /// Unique name, such as `cronometria/splits`.
     pub name: String,
-    /// The customer that owns it.
+    /// Customer that owns the entry.
     pub owner: String,
-    /// The team whose quota it uses.
+    /// Team whose quota the entry uses.
     pub team: String,
-    /// Class of work.
+    /// Class of the entry's work.
     pub class: Class,
-    /// Most resources one task may declare.
+    /// Most resources that one task may declare.
     pub limits: Resources,
-    /// Most resources the team's tasks may hold at once in one shard.
+    /// Most resources that the team's tasks may hold at once in one failure domain.
     pub quota: Resources,
 }
 
-/// An operator's edit: upserts and removals against the version the operator saw.
+/// An operator's edit: upserts and removals, based on the version that the operator read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Edit {
-    /// The catalogue version the edit was made against; another version is a conflict.
+    /// Catalogue version on which the edit is based. Any other current version is a conflict.
     pub base: u64,
     /// Entries to add or replace.
     #[serde(default)]
     pub entries: Vec<CatEntry>,
-    /// Names to remove.
+    /// Names of entries to remove.
     #[serde(default)]
     pub remove: Vec<String>,
 }
@@ -50,69 +50,73 @@
 /// The catalogue as one instance holds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Version held.
+    /// Version of the catalogue; 0 for none.
     pub version: u64,
     /// Entries by name.
     pub entries: BTreeMap<String, CatEntry>,
 }
 
-/// Why an edit was not accepted.
+/// Reason why an edit was not accepted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EditError {
-    /// The edit is malformed; nothing changed.
+    /// The edit is malformed. Nothing was changed.
     #[error("invalid edit: {field}: {why}")]
     Invalid {
-        /// The offending field.
+        /// Path of the invalid field.
         field: String,
-        /// What is wrong.
+        /// Rule that the field violates.
         why: &'static str,
     },
-    /// Another edit came first; nothing changed. Re-read and edit against `current`.
+    /// Another edit was committed first. Nothing was changed; the operator must read the catalogue
+    /// and base the edit on `current`.
     #[error("catalogue is at version {current}, edit was against {base}")]
     Conflict {
-        /// The version the edit named.
+        /// Version on which the edit is based.
         base: u64,
-        /// The version now.
+        /// Current version.
         current: u64,
     },
-    /// The table could not be reached; nothing is known to have changed.
+    /// The table could not be reached. No change is confirmed.
     #[error("table: {0}")]
     Platform(#[from] PlatformError),
 }
 
 impl Edit {
-    /// Checks names and ranges before anything is written.
+    /// Checks names and ranges, before anything is written.
     pub fn check(&self) -> Result<(), EditError> {
-        let bad = |field: String, why| Err(EditError::Invalid { field, why });
+        let invalid = |field: String, why| Err(EditError::Invalid { field, why });
         if self.entries.is_empty() && self.remove.is_empty() {
-            return bad("entries".into(), "edit changes nothing");
+            return invalid("entries".into(), "edit changes nothing");
         }
         let mut seen = std::collections::BTreeSet::new();
         for (i, e) in self.entries.iter().enumerate() {
-            let ok = |s: &str| {
+            let valid_name = |s: &str| {
                 !s.is_empty()
                     && s.len() <= MAX_NAME
                     && s.chars().all(|c| c.is_ascii_alphanumeric() || "-_/.".contains(c))
             };
-            if !ok(&e.name) {
-                return bad(format!("entries[{i}].name"), "must be 1-128 of [A-Za-z0-9-_/.]");
+            if !valid_name(&e.name) {
+                return invalid(format!("entries[{i}].name"), "must be 1-128 of [A-Za-z0-9-_/.]");
             }
-            if !ok(&e.owner) || !ok(&e.team) {
-                return bad(format!("entries[{i}].owner"), "owner and team must be names");
+            if !valid_name(&e.owner) || !valid_name(&e.team) {
+                return invalid(format!("entries[{i}].owner"), "owner and team must be names");
             }
             if e.limits.cpu == 0 || e.limits.mem == 0 {
-                return bad(format!("entries[{i}].limits"), "cpu and mem must be above 0");
+                return invalid(format!("entries[{i}].limits"), "cpu and mem must be above 0");
             }
             if !e.limits.fits(&e.quota) {
-                return bad(format!("entries[{i}].quota"), "must hold at least one task's limits");
+                return invalid(
+                    format!("entries[{i}].quota"),
+                    "must hold at least one task's limits",
+                );
             }
             if !seen.insert(e.name.clone()) {
-                return bad(format!("entries[{i}].name"), "named twice in one edit");
+                return invalid(format!("entries[{i}].name"), "named twice in one edit");
             }
         }
         for (i, r) in self.remove.iter().enumerate() {
             if !seen.insert(r.clone()) {
-                return bad(format!("remove[{i}]"), "named twice in one edit");
+                return invalid(format!("remove[{i}]"), "named twice in one edit");
             }
         }
         Ok(())
@@ -120,8 +124,8 @@
 }
 
 impl Catalogue {
-    /// Applies an edit that made `version`; an older or equal version is ignored, so the
-    /// catalogue never goes back.
+    /// Applies the edit of `version` and returns whether it did. An equal or earlier version is
+    /// ignored, so the catalogue never reverts.
     pub fn apply(&mut self, version: u64, edit: &Edit) -> bool {
         if version <= self.version {
             return false;
@@ -137,14 +141,15 @@
     }
 }
 
-/// The catalogue's version in the table, and the version of the row that holds it; 0 when absent.
+/// Reads the catalogue's version in the table, and the version of the row that stores it; 0 if
+/// absent.
 async fn version(table: &Client) -> Result<(u64, u64), PlatformError> {
     let row = rows::read::<CatVersion>(table, rows::CATVER.into()).await?;
     Ok(row.map_or((0, 0), |(v, row)| (v.version, row)))
 }
 
-/// Commits `edit` as the next version. Two operators at once: one wins, the other gets
-/// [`EditError::Conflict`] with the version now in force.
+/// Commits `edit` as the next version and returns that version. Of two concurrent edits one is
+/// committed, and the other gets [`EditError::Conflict`] with the current version.
 pub async fn commit(table: &Client, edit: &Edit) -> Result<u64, EditError> {
     edit.check()?;
     let (current, row_version) = version(table).await?;
@@ -170,15 +175,15 @@
     match table.txn(&txn).await? {
         Outcome::Committed { .. } => Ok(next),
         Outcome::Conflict { .. } => {
-            // Lost the race between our read and our write: say which version won.
+            // Another edit was committed between the read and the write; report its version.
             let (current, _) = version(table).await?;
             Err(EditError::Conflict { base: edit.base, current })
         }
     }
 }
 
-/// Brings `cat` up to the version in the table: the log rows since its version, or the whole
-/// catalogue when too far behind. Returns whether anything changed.
+/// Updates `cat` to the version in the table, from the log rows since its version or, if it is too
+/// far behind, from the whole catalogue. Returns whether it changed.
 pub async fn catch_up(table: &Client, cat: &mut Catalogue) -> Result<bool, PlatformError> {
     let (latest, _) = version(table).await?;
     if latest <= cat.version {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -1,5 +1,5 @@
-//! Job submission and cancellation: each a conditional transaction on the job row, with an
-//! idempotency key so that a retry after a lost answer returns the first outcome.
+//! Job submission and cancellation. Each is a conditional transaction on the job row with an
+//! idempotency key, so that a retry after a lost answer returns the first outcome.
 
 use crate::entry::catalogue::{CatEntry, Catalogue};
 use crate::entry::rows::{self, JobRow, JobSpec, JobState, TaskRow, TaskState};
@@ -13,51 +13,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3;
 
-/// Tries of a submission or cancellation whose answer was lost.
+/// Most attempts of a transaction without an answer, and of a cancellation that meets conflicts.
 pub const TRIES: u32 = 4;
 
-/// Wait before the first retry, ms; doubles each time, with jitter.
+/// Delay before the first retry, ms. It doubles with each retry and has jitter.
 pub const BACKOFF_MS: u64 = 50;
 
-/// Deadline given to urgent work that names none: letter 1's "started within 8.7 s".
+/// Default deadline of urgent work, ms: it must start within 8.7 s.
 pub const URGENT_DEADLINE_MS: u64 = 8_700;
 
-/// Deadline given to gangs that name none: a gang that cannot be placed whole by then is
-/// refused rather than holding its place in the queue for good.
+/// Default deadline of gangs, ms. A gang that cannot be placed whole by then is refused, so that it
+/// does not wait in the queue permanently.
 pub const GANG_DEADLINE_MS: u64 = 30_000;
 
-/// Why a submission was not accepted.
+/// Reason why a submission was not accepted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SubmitError {
-    /// Malformed; nothing was written.
+    /// The job is malformed. Nothing was written.
     #[error("invalid job: {field}: {why}")]
     Invalid {
-        /// Field.
+        /// Name of the invalid field.
         field: &'static str,
-        /// What is wrong.
+        /// Rule that the field violates.
         why: &'static str,
     },
-    /// The catalogue has no such entry; nothing was written.
+    /// The catalogue has no such entry. Nothing was written.
     #[error("no catalogue entry {0}")]
     UnknownEntry(String),
-    /// A task declares more than its entry's limits; nothing was written.
+    /// A task declares more than the limits of its entry. Nothing was written.
     #[error("tasks exceed the limits of entry {0}")]
     OverLimits(String),
-    /// The key was used before for another job.
+    /// The idempotency key was used before for a job with another specification.
     #[error("idempotency key reused for another job {0}")]
     KeyReused(String),
-    /// The table could not be reached; nothing is known to have been written.
+    /// The table could not be reached. No write is confirmed.
     #[error("table: {0}")]
     Platform(#[from] PlatformError),
 }
 
-/// Why a cancellation failed.
+/// Reason why a cancellation failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CancelError {
-    /// No such job.
+    /// There is no job with this id.
     #[error("no job {0}")]
     NotFound(String),
-    /// Other writers kept changing the job; try again.
+    /// All attempts met a conflict with another writer; the caller may retry.
     #[error("job {0} kept changing")]
     Busy(String),
     /// The table could not be reached.
@@ -65,13 +65,14 @@
     Platform(#[from] PlatformError),
 }
 
-/// The job id for an idempotency key: 128 bits of its hash, so that two keys never meet.
+/// Returns the job id for an idempotency key: its 128-bit hash, so that collisions are not to be
+/// expected.
 pub fn job_id(key: &str) -> String {
     format!("j{:032x}", xxh3::xxh3_128(key.as_bytes()))
 }
 
-/// Applies `txn`, retrying with backoff and jitter while the answer is lost or the budget is
-/// spent; safe because `txn` carries an idempotency key.
+/// Applies `txn`, with retries while the table is unavailable, throttles or does not answer.
+/// Retries are safe because `txn` carries an idempotency key.
 pub async fn apply(table: &Client, clock: &Clock, txn: &Txn) -> Result<Outcome, PlatformError> {
     let mut wait = BACKOFF_MS;
     let mut last = PlatformError::Timeout;
@@ -96,16 +97,17 @@
     Err(last)
 }
 
-/// The shards of a failure domain with the capacity of each, in a fixed order.
+/// Shards of a failure domain with their capacities, in a fixed order.
 #[derive(Clone, Debug, Default)]
 pub struct Inventory {
-    /// (shard, total capacity, largest worker).
+    /// Name, total capacity and capacity of the largest worker of each shard.
     pub shards: Vec<(String, Resources, Resources)>,
 }
 
 impl Inventory {
-    /// The shard for a new job: the better of two picked by the job's hash, by the workers'
-    /// lagging room; two choices spread a burst that one "best" shard would attract whole.
+    /// Returns the index of the shard for a new job: of two shards selected by the hash of the job
+    /// id, the one with more free capacity as reported in `rooms`. The report is delayed, so a
+    /// choice of the best of all shards would send a whole burst to one of them.
     pub fn choose(&self, id: &str, spec: &JobSpec, rooms: &BTreeMap<String, RackRoom>) -> usize {
         let n = self.shards.len().max(1) as u64;
         let h = xxh3::xxh3_64(id.as_bytes());
@@ -122,29 +124,30 @@
     }
 }
 
-/// Where and under what a job is accepted.
+/// Inputs of a submission besides the job.
 pub struct Accept<'a> {
-    /// The table.
+    /// Client of the table.
     pub table: &'a Client,
     /// The process clock.
     pub clock: &'a Clock,
-    /// The catalogue in force here.
+    /// Catalogue in force on this instance.
     pub cat: &'a Catalogue,
-    /// Shards of the domain.
+    /// Shards of the failure domain.
     pub inventory: &'a Inventory,
-    /// Their lagging room.
+    /// Free capacity of the shards, as the platform reports it with a delay.
     pub rooms: &'a BTreeMap<String, RackRoom>,
-    /// The failure domain.
+    /// Failure domain of this instance.
     pub domain: &'a str,
 }
 
 impl Accept<'_> {
-    /// The row of a new job: waiting on the shard chosen for it, or refused if it can never run.
+    /// Builds the row of a new job: pending in the shard chosen for it, or refused if it can never
+    /// run.
     fn row(&self, entry: &CatEntry, spec: JobSpec) -> JobRow {
         let id = job_id(&spec.key);
         let chosen = self.inventory.choose(&id, &spec, self.rooms);
         let (shard, total, largest) = &self.inventory.shards[chosen];
-        let (state, task) = match never_runs(&spec, entry.class, total, largest) {
+        let (state, task) = match refusal_reason(&spec, entry.class, total, largest) {
             Some(r) => (JobState::Refused { reason: r.to_string() }, TaskState::Refused),
             None => (JobState::Pending, TaskState::Pending),
         };
@@ -166,8 +169,8 @@
     }
 }
 
-/// Deadline of work that names none.
-fn usual_deadline(class: Class) -> Option<u64> {
+/// Default deadline of a class of work, ms.
+fn default_deadline(class: Class) -> Option<u64> {
     match class {
         Class::Urgent => Some(URGENT_DEADLINE_MS),
         Class::Gang => Some(GANG_DEADLINE_MS),
@@ -175,8 +178,8 @@
     }
 }
 
-/// Why a job that is well formed can never run, if so.
-fn never_runs(
+/// Returns the reason if a valid job can never run.
+fn refusal_reason(
     spec: &JobSpec,
     class: Class,
     total: &Resources,
@@ -189,6 +192,7 @@
     (class == Class::Gang && !whole.fits(total)).then_some("the gang is larger than its shard")
 }
 
+/// Checks the ranges of a job's fields.
 fn check(spec: &JobSpec) -> Result<(), SubmitError> {
     if spec.tasks == 0 || spec.tasks > rows::MAX_TASKS {
         return Err(SubmitError::Invalid { field: "tasks", why: "must be 1 to 10000" });
@@ -202,8 +206,8 @@
     Ok(())
 }
 
-/// Checks and commits a job. A job that can never run is committed as refused ("not run")
-/// at once; the caller reads the state in the answer.
+/// Checks and commits a job, and returns its row. A job that can never run is committed as refused
+/// at once, which shows in the state of the row.
 pub async fn submit(a: &Accept<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
     check(&spec)?;
     let entry = a
@@ -214,18 +218,18 @@
     if !spec.demand.fits(&entry.limits) {
         return Err(SubmitError::OverLimits(spec.entry.clone()));
     }
-    spec.deadline_ms = spec.deadline_ms.or(usual_deadline(entry.class));
+    spec.deadline_ms = spec.deadline_ms.or(default_deadline(entry.class));
     let row = a.row(entry, spec);
     let key = rows::job_key(&row.id);
-    let mark = match row.ended() {
+    let index_key = match row.ended() {
         true => rows::done_key(a.domain, &row.shard, row.submitted, &row.id),
         false => rows::pend_key(a.domain, &row.shard, &row.id),
     };
     let txn = Txn {
         conds: vec![Cond::Version { key: key.clone(), version: 0 }],
-        ops: vec![Op::Put { key, value: rows::encode(&row) }, rows::put_marker(mark)],
-        // The row is part of the key: another entry's submission of the same key differs in
-        // time or shard, and must meet the condition above, not this record.
+        ops: vec![Op::Put { key, value: rows::encode(&row) }, rows::put_marker(index_key)],
+        // A random part in the key: the row of another submission with the same job key can differ
+        // in time or shard, and must fail the condition above instead of replaying this outcome.
         idem: Some(format!("submit/{}/{:x}", row.id, rand::random::<u64>())),
     };
     match apply(a.table, a.clock, &txn).await? {
@@ -237,16 +241,16 @@
     }
 }
 
-/// The job that an earlier submission of the same key made, if it is this job.
+/// Returns the job of an earlier submission with the same key, if its specification is the same.
 async fn known_job(table: &Client, row: JobRow) -> Result<JobRow, SubmitError> {
     match rows::read::<JobRow>(table, rows::job_key(&row.id)).await? {
-        Some((o, _)) if o.spec == row.spec => Ok(o),
+        Some((known, _)) if known.spec == row.spec => Ok(known),
         _ => Err(SubmitError::KeyReused(row.spec.key)),
     }
 }
 
 /// Marks a job and its tasks that have not ended as cancelled. Returns the operations that withdraw
-/// their placements, and the stops of what may run.
+/// their placements, and the stops of tasks that may run.
 fn withdraw(row: &mut JobRow) -> (Vec<Op>, Vec<StopReq>) {
     let mut ops = Vec::new();
     let mut stops = Vec::new();
@@ -267,10 +271,10 @@
     (ops, stops)
 }
 
-/// Cancels a job: tasks not yet ended are marked cancelled and their placements withdrawn in
-/// one transaction, so that a worker asked to start one later refuses. The job's mark tells the
-/// shard's holder to stop what runs and to release its room, also if this instance dies now.
-/// Returns the stops worth sending at once.
+/// Cancels a job. Tasks that have not ended are marked as cancelled and their placements withdrawn
+/// in one transaction, so that a worker refuses to start them later. Through the job's pending-job
+/// entry, the shard's holder stops the running tasks and releases their resources even if this
+/// instance fails. Returns the row and the stops, which the caller may send at once.
 pub async fn cancel(
     table: &Client,
     clock: &Clock,
@@ -285,10 +289,10 @@
         }
         let (mut ops, stops) = withdraw(&mut row);
         let domain = row.domain().to_string();
-        let mark = rows::pend_key(&domain, &row.shard, id);
+        let index_key = rows::pend_key(&domain, &row.shard, id);
         ops.push(match stops.is_empty() {
-            true => Op::Delete { key: mark },
-            false => rows::put_marker(mark),
+            true => Op::Delete { key: index_key },
+            false => rows::put_marker(index_key),
         });
         ops.push(rows::put_marker(rows::done_key(&domain, &row.shard, clock.now(), id)));
         ops.push(Op::Put { key: rows::job_key(id), value: rows::encode(&row) });
--- a/src/entry/ledger.rs
+++ b/src/entry/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger of writes: before a write is sent to a runner, a record that names the runner is
-//! committed under the write's id, so that a repeat, through whichever entry instance, is
-//! recognised and the write runs at most once. Records are committed in groups with a gap
-//! between commits, because the table's write budget is shared by the whole cell.
+//! The ledger of writes. Before a write is sent to a runner, a record that names the runner is
+//! committed under the id of the write. A repeat through any entry instance is recognised by this
+//! record, so the write runs at most once. Records are committed in groups, with an interval
+//! between commits, because the whole cell shares the table's write budget.
 
 use crate::entry::jobs;
 use crate::entry::rows::{self, WriteRow};
@@ -14,19 +14,19 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Records that may wait for the next commit; more are refused at once.
-const QUEUE: usize = 4_096;
+/// Most records that wait for a commit; further records are refused at once.
+const MAX_QUEUED: usize = 4_096;
 
 /// Most records in one commit.
-const GROUP: usize = 200;
+const MAX_GROUP: usize = 200;
 
-/// Why a record was not made; nothing was sent.
+/// Reason why a record was not committed. Nothing was sent to a runner.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum LedgerError {
     /// The table could not be reached.
     #[error("table: {0}")]
     Platform(#[from] PlatformError),
-    /// Too many records wait.
+    /// Too many records wait for a commit.
     #[error("too many writes wait")]
     Full,
     /// The instance is stopping.
@@ -34,25 +34,29 @@
     Stopping,
 }
 
-/// What the ledger said to a record.
+/// Result of a record.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Claimed {
-    /// Recorded, under this row version.
+pub enum RecordResult {
+    /// The record was committed; its row has this version.
     Recorded(u64),
-    /// The row is another than expected: this one, with its version.
+    /// The row had another version than expected: its content and version.
     Other(Box<WriteRow>, u64),
 }
 
-type Reply = Result<Claimed, LedgerError>;
+type Reply = Result<RecordResult, LedgerError>;
 
+/// A record that waits for a commit.
 struct Record {
     id: String,
     row: WriteRow,
+    /// Expected version of the row; 0 if it must not exist.
     expect: u64,
+    /// Receiver of the result; none for the outcome of a write.
     reply: Option<oneshot::Sender<Reply>>,
 }
 
-/// The ledger of one entry instance; [`Ledger::run`] commits what [`Ledger::record`] hands in.
+/// Ledger of one entry instance. [`Ledger::run`] commits the records of [`Ledger::record`] and
+/// [`Ledger::record_outcome`].
 pub struct Ledger {
     table: Client,
     clock: Clock,
@@ -60,16 +64,22 @@
     domain: String,
     nonce: u64,
     seq: AtomicU64,
-    /// Gap between commits, ms; the heartbeat scales it with the number of members.
-    pub gap: AtomicU64,
+    /// Interval between commits, ms. The heartbeat scales it with the number of members.
+    pub interval_ms: AtomicU64,
     tx: channel::Sender<Record>,
     rx: channel::Receiver<Record>,
 }
 
 impl Ledger {
-    /// A ledger of instance `me` in `domain`.
-    pub fn new(table: Client, clock: Clock, me: &str, domain: &str, gap: Millis) -> Arc<Self> {
-        let (tx, rx) = channel::bounded(QUEUE);
+    /// Creates the ledger of instance `me` in failure domain `domain`.
+    pub fn new(
+        table: Client,
+        clock: Clock,
+        me: &str,
+        domain: &str,
+        interval_ms: Millis,
+    ) -> Arc<Self> {
+        let (tx, rx) = channel::bounded(MAX_QUEUED);
         Arc::new(Self {
             table,
             clock,
@@ -77,26 +87,28 @@
             domain: domain.to_string(),
             nonce: rand::random(),
             seq: AtomicU64::new(0),
-            gap: AtomicU64::new(gap),
+            interval_ms: AtomicU64::new(interval_ms),
             tx,
             rx,
         })
     }
 
-    /// Records `row` for write `id` if its row is still at version `expect` (0: none).
+    /// Commits `row` for write `id` if the stored row has version `expect`; 0 if there must be
+    /// none.
     pub async fn record(&self, id: &str, row: WriteRow, expect: u64) -> Reply {
-        let (reply, got) = oneshot::channel();
-        let entry = Record { id: id.to_string(), row, expect, reply: Some(reply) };
-        self.tx.try_send(entry).map_err(|_| LedgerError::Full)?;
-        got.await.unwrap_or(Err(LedgerError::Stopping))
+        let (reply, result) = oneshot::channel();
+        let record = Record { id: id.to_string(), row, expect, reply: Some(reply) };
+        self.tx.try_send(record).map_err(|_| LedgerError::Full)?;
+        result.await.unwrap_or(Err(LedgerError::Stopping))
     }
 
-    /// Notes an outcome with the next commit; losing the note only costs a query later.
-    pub fn note(&self, id: &str, row: WriteRow, expect: u64) {
+    /// Queues the outcome of a write for the next commit. If it is lost, a repeat of the write
+    /// costs one query to the runner.
+    pub fn record_outcome(&self, id: &str, row: WriteRow, expect: u64) {
         let _ = self.tx.try_send(Record { id: id.to_string(), row, expect, reply: None });
     }
 
-    /// Commits groups until `stop`, then what still waits.
+    /// Commits groups of records until `stop`, then the records that still wait.
     pub async fn run(self: Arc<Self>, stop: Stop) {
         loop {
             let first = match stop.unless_fired(self.rx.recv()).await {
@@ -105,16 +117,17 @@
                 None => break,
             };
             self.commit_waiting(Some(first)).await;
-            stop.unless_fired(self.clock.sleep(self.gap.load(Ordering::Relaxed))).await;
+            stop.unless_fired(self.clock.sleep(self.interval_ms.load(Ordering::Relaxed))).await;
         }
         while !self.rx.is_empty() {
             self.commit_waiting(None).await;
         }
     }
 
+    /// Commits `first` and the records that wait, up to [`MAX_GROUP`], in one or more transactions.
     async fn commit_waiting(&self, first: Option<Record>) {
         let mut group: Vec<Record> = first.into_iter().collect();
-        while group.len() < GROUP {
+        while group.len() < MAX_GROUP {
             let Ok(e) = self.rx.try_recv() else { break };
             group.push(e);
         }
@@ -123,8 +136,8 @@
         }
     }
 
-    /// Commits a group. One record that meets another row fails the transaction: it is answered
-    /// with that row, and the rest is returned to be committed again.
+    /// Commits a group. A record whose row has another version fails the transaction: it is
+    /// answered with the stored row, and the other records are returned to be committed again.
     async fn commit(&self, mut group: Vec<Record>) -> Vec<Record> {
         let seq = self.seq.fetch_add(1, Ordering::Relaxed);
         let txn = self.transaction(&group, seq);
@@ -133,15 +146,15 @@
                 for e in group {
                     let version = versions.get(&rows::write_key(&e.id)).copied();
                     let version = version.unwrap_or(e.expect + 1);
-                    e.answer(Ok(Claimed::Recorded(version)));
+                    e.answer(Ok(RecordResult::Recorded(version)));
                 }
                 Vec::new()
             }
             Ok(Outcome::Conflict { index, .. }) if index < group.len() => {
                 let e = group.remove(index);
                 if e.reply.is_some() {
-                    let other = self.read(&e.id).await;
-                    e.answer(other);
+                    let stored = self.read(&e.id).await;
+                    e.answer(stored);
                 }
                 group
             }
@@ -166,9 +179,10 @@
         Txn { conds, ops, idem: Some(format!("ledger/{}/{:x}/{seq}", self.me, self.nonce)) }
     }
 
+    /// Reads the stored row of write `id` after a conflict.
     async fn read(&self, id: &str) -> Reply {
         let row = rows::read::<WriteRow>(&self.table, rows::write_key(id)).await?;
-        row.map(|(row, v)| Claimed::Other(Box::new(row), v)).ok_or(LedgerError::Stopping)
+        row.map(|(row, v)| RecordResult::Other(Box::new(row), v)).ok_or(LedgerError::Stopping)
     }
 }
 
@@ -180,6 +194,7 @@
     }
 }
 
+/// Answers all records of a group with an error; no record remains to be committed.
 fn fail(group: Vec<Record>, e: &LedgerError) -> Vec<Record> {
     group.into_iter().for_each(|g| g.answer(Err(e.clone())));
     Vec::new()
--- a/src/entry/loops.rs
+++ b/src/entry/loops.rs
@@ -1,5 +1,5 @@
-//! What an entry instance does by itself: heartbeats, scheduling rounds and sweeps, and following
-//! the catalogue and the instance list, each in a loop that ends with the stop.
+//! Background loops of an entry instance: heartbeats, scheduling rounds with garbage collection,
+//! and updates of the catalogue and the instance list. Each loop ends when the instance stops.
 
 use super::{jobs, sched, snapshot, view, Entry};
 use crate::kernel::clock::Millis;
@@ -9,26 +9,29 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Rounds come this many times more rarely by pace: most of an instance's calls are polls, and
-/// with nothing waiting they only have to notice ends and new work. Urgent work that arrives at an
-/// idle instance waits that much longer for its first round, well inside letter 1's 8.7 s.
-const fn round_factor(pace: sched::Pace) -> u64 {
-    match pace {
-        sched::Pace::Busy => 1,
-        sched::Pace::Running => 2,
-        sched::Pace::Idle => 3,
+/// Factor on the interval between rounds, by activity. Most calls of an instance are polls; while
+/// no job waits they only detect completions and new work. Urgent work that arrives at an idle
+/// instance waits accordingly longer for its first round, well within the 8.7 s in which it must
+/// start.
+const fn round_factor(activity: sched::Activity) -> u64 {
+    match activity {
+        sched::Activity::Busy => 1,
+        sched::Activity::Running => 2,
+        sched::Activity::Idle => 3,
     }
 }
 
-/// The room of the domain's racks is read at every this many heartbeats; it only advises.
-const ROOMS_EVERY: u64 = 3;
+/// The free capacity of the domain's racks is read with one of this many heartbeats. It serves only
+/// as a hint.
+const ROOMS_EVERY_HEARTBEATS: u64 = 3;
 
-/// Wait before the worker list is asked for again, ms.
-const BOOT_MS: u64 = 300;
+/// Interval between attempts to read the worker list, ms.
+const WORKER_LIST_RETRY_MS: u64 = 300;
 
 impl Entry {
-    /// Reads the worker list, again and again until the platform answers; none once stopped.
-    async fn boot(&self) -> Option<sched::Sched> {
+    /// Reads the worker list, with retries until it has workers of this domain, and returns a
+    /// scheduler for them. Returns none once stopped.
+    async fn read_workers(&self) -> Option<sched::Sched> {
         loop {
             match self.platform.workers().await {
                 Ok(all) => {
@@ -51,35 +54,37 @@
                 }
                 Err(e) => log::debug!("worker list: {e}"),
             }
-            if !self.nap(BOOT_MS).await {
+            if !self.sleep_unless_stopped(WORKER_LIST_RETRY_MS).await {
                 return None;
             }
         }
     }
 
+    /// Sends heartbeats and reads the free capacity of the racks.
     pub(super) async fn heartbeat(self: Arc<Self>) {
-        for beat in 0u64.. {
+        for n in 0u64.. {
             let now = self.clock.now();
-            let beaten = {
+            let renewed = {
                 let mut m = self.members.lock().await;
-                let beaten = m.beat(&self.platform, now).await;
-                // Every instance commits write records; the more there are, the rarer each.
-                let gap = self.timing.ledger_ms * m.members.len().max(1) as u64;
-                self.writes.ledger.gap.store(gap, Ordering::Relaxed);
-                beaten
+                let renewed = m.heartbeat(&self.platform, now).await;
+                // All instances commit write records, so the interval grows with their number.
+                let interval_ms = self.timing.ledger_ms * m.members.len().max(1) as u64;
+                self.writes.ledger.interval_ms.store(interval_ms, Ordering::Relaxed);
+                renewed
             };
-            if let Err(e) = beaten {
+            if let Err(e) = renewed {
                 log::debug!("heartbeat failed: {e}");
             }
-            if beat.is_multiple_of(ROOMS_EVERY) {
+            if n.is_multiple_of(ROOMS_EVERY_HEARTBEATS) {
                 self.read_rooms().await;
             }
-            if !self.nap(self.timing.heartbeat_ms).await {
+            if !self.sleep_unless_stopped(self.timing.heartbeat_ms).await {
                 return;
             }
         }
     }
 
+    /// Reads the free capacity of the domain's racks; keeps the last one on an error.
     async fn read_rooms(&self) {
         if let Ok(rooms) = self.platform.rooms(&self.addr.domain).await {
             let rooms = rooms.into_iter().map(|r| (r.shard.clone(), r)).collect();
@@ -87,28 +92,30 @@
         }
     }
 
+    /// Runs scheduling rounds, and garbage collection every `sweep_ms`.
     pub(super) async fn schedule(self: Arc<Self>) {
-        let Some(mut s) = self.boot().await else { return };
-        let mut swept = self.clock.now();
+        let Some(mut s) = self.read_workers().await else { return };
+        let mut last_sweep = self.clock.now();
         loop {
             if let Err(e) = self.round(&mut s).await {
                 log::debug!("round failed: {e}");
             }
             *self.view.lock().unwrap() = view(&s);
             let now = self.clock.now();
-            if now >= swept + self.timing.sweep_ms {
-                swept = now;
+            if now >= last_sweep + self.timing.sweep_ms {
+                last_sweep = now;
                 if let Err(e) = self.sweep(now).await {
                     log::debug!("sweep failed: {e}");
                 }
             }
-            if !self.nap(self.timing.round_ms * round_factor(s.pace())).await {
+            if !self.sleep_unless_stopped(self.timing.round_ms * round_factor(s.activity())).await {
                 return;
             }
         }
     }
 
-    /// Epochs of the shards held, and which of them were renewed recently enough to be used.
+    /// Returns the epochs of the shards held, and the shards whose leases were renewed recently
+    /// enough to be used.
     async fn held(&self) -> (BTreeMap<String, u64>, BTreeSet<String>) {
         let m = self.members.lock().await;
         let now = self.clock.now();
@@ -119,6 +126,7 @@
         (held, usable)
     }
 
+    /// Runs one scheduling round and drops the shards whose leases it found to be lost.
     async fn round(&self, s: &mut sched::Sched) -> Result<(), PlatformError> {
         let (held, usable) = self.held().await;
         if held.is_empty() {
@@ -134,10 +142,10 @@
             cat: &cat,
             hold_ms: self.timing.hold_ms,
         };
-        let out = s.round(&cx, &held, &usable).await?;
+        let result = s.round(&cx, &held, &usable).await?;
         let mut m = self.members.lock().await;
-        for l in &out.lost {
-            // Unless the heartbeat has taken it again meanwhile, under a new epoch.
+        for l in &result.lost {
+            // The heartbeat may have acquired it again in the meantime, under a new epoch.
             if m.held.get(l).map(|h| h.epoch) == held.get(l).copied() {
                 log::warn!("shard {l} lost: fenced out");
                 metrics::counter!("entry_shards_lost").increment(1);
@@ -147,8 +155,8 @@
         Ok(())
     }
 
-    /// Sweeps old outcomes of the shards held, and the domain's old write records if its first
-    /// shard is among them.
+    /// Removes old rows of the shards held. The holder of the domain's first shard also removes old
+    /// write records and saves the catalogue snapshot.
     async fn sweep(&self, now: Millis) -> Result<(), PlatformError> {
         let (held, usable) = self.held().await;
         let first = self.inventory.lock().unwrap().as_ref().map(|i| i.shards[0].0.clone());
@@ -159,31 +167,33 @@
             before: now.saturating_sub(self.timing.keep_ms),
         };
         for (shard, &epoch) in held.iter().filter(|(s, _)| usable.contains(*s)) {
-            let mut swept = sweep.jobs(shard, epoch).await?;
+            let mut removed = sweep.jobs(shard, epoch).await?;
             if Some(shard) == first.as_ref() {
-                swept += sweep.writes(shard, epoch).await?;
+                removed += sweep.writes(shard, epoch).await?;
                 snapshot::save(&self.platform, &self.addr.domain, &self.catalogue()).await?;
             }
-            metrics::counter!("entry_rows_swept").increment(swept as u64);
+            metrics::counter!("entry_rows_swept").increment(removed as u64);
         }
         Ok(())
     }
 
-    pub(super) async fn watch(self: Arc<Self>) {
+    /// Keeps the catalogue up to date with the table.
+    pub(super) async fn watch_catalogue(self: Arc<Self>) {
         loop {
             let cat = self.refresh_catalogue().await;
             if cat.version == 0 {
-                // Started while the table is away: the last snapshot beats no catalogue.
+                // The table has been unavailable since the start; use the last snapshot.
                 if let Some(cat) = snapshot::load(&self.platform, &self.addr.domain).await {
-                    self.adopt(cat);
+                    self.install_catalogue(cat);
                 }
             }
-            if !self.nap(self.timing.watch_ms).await {
+            if !self.sleep_unless_stopped(self.timing.watch_ms).await {
                 return;
             }
         }
     }
 
+    /// Marks the runners that the platform's instance list shows as leaving.
     pub(super) async fn follow_instances(self: Arc<Self>) {
         loop {
             if let Ok(list) = self.platform.instances().await {
@@ -194,7 +204,7 @@
                     .collect();
                 self.pool.set_leaving(&leaving);
             }
-            if !self.nap(self.timing.instances_ms).await {
+            if !self.sleep_unless_stopped(self.timing.instances_ms).await {
                 return;
             }
         }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,6 +1,6 @@
-//! The entry instance: HTTP API for operators and callers, the catalogue watch, membership and
-//! shard leases, scheduling rounds, and routing to runners. Stateless: everything it holds is
-//! a cache of the platform's table that it can rebuild.
+//! The entry instance: HTTP API for operators and callers, catalogue updates, membership and
+//! shard leases, scheduling rounds, and routing to runners. It is stateless: all its data is a
+//! cache of the platform's table that it can rebuild.
 
 pub mod api;
 pub mod catalogue;
@@ -28,43 +28,43 @@
 
 /// One entry instance.
 pub struct Entry {
-    /// Its address, id and domain.
+    /// Address, id and failure domain of the instance.
     pub addr: EntryAddr,
-    /// Timers.
+    /// Intervals and timeouts from the settings.
     pub timing: Timing,
     /// The process clock.
     pub clock: Clock,
     /// Client of the platform.
     pub platform: Client,
-    /// The catalogue in force here.
+    /// Catalogue in force on this instance.
     pub cat: Mutex<Arc<catalogue::Catalogue>>,
     /// Membership and shard leases.
     pub members: AsyncMutex<members::Membership>,
-    /// Shards of the domain, once the worker list has been read.
+    /// Shards of the failure domain; none until the worker list has been read.
     pub inventory: Mutex<Option<Arc<jobs::Inventory>>>,
-    /// Lagging room per shard of the domain.
+    /// Free capacity of each shard of the domain, as the platform reports it with a delay.
     pub rooms: Mutex<BTreeMap<String, RackRoom>>,
-    /// What the scheduler last published for the dump.
+    /// State of the scheduler after its last round, for the state dump.
     view: Mutex<serde_json::Value>,
-    /// Runner connections.
+    /// Connections to the runners.
     pub pool: Arc<route::Pool>,
-    /// The write path, with its ledger.
+    /// Write path with its ledger.
     pub writes: writes::Writes,
-    /// Fires when the process is told to stop.
+    /// Fires when the process is asked to stop.
     stop: Stop,
 }
 
 /// Errors that stop an entry instance from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
-    /// The settings name no such entry.
+    /// The settings contain no entry with this id.
     #[error("no entry {0} in the settings")]
     Unknown(String),
 }
 
 impl Entry {
-    /// Builds the instance `id` of `cell`. It needs nothing of the platform yet, so that an
-    /// instance started while the platform is away serves lookups at once.
+    /// Builds instance `id` of `cell`. It makes no call to the platform, so that an instance
+    /// started while the platform is unavailable serves lookups at once.
     pub fn new(cell: &Cell, id: &str, clock: Clock, stop: Stop) -> Result<Arc<Self>, EntryError> {
         let addr = cell.entry(id).ok_or_else(|| EntryError::Unknown(id.into()))?.clone();
         let timing = cell.timing.clone();
@@ -108,10 +108,10 @@
         }))
     }
 
-    /// Runs every loop and the HTTP API until stopped; joins them all before returning.
+    /// Runs the loops and the HTTP API until stopped, and joins all of them before it returns.
     ///
-    /// The order of a graceful shutdown: `/ready` fails, then the listener closes, requests in
-    /// flight end, and only then the runner connections and the ledger that they need.
+    /// In a graceful shutdown `/ready` fails first, then the listener closes and the requests in
+    /// flight end. The runner connections and the ledger, which these requests need, stop last.
     pub async fn run(self: Arc<Self>) -> eyre::Result<()> {
         let drain = Drain {
             linger_ms: self.timing.linger_ms,
@@ -126,15 +126,15 @@
         )
         .await?;
         log::info!("entry {} of domain {} listening on {bound}", self.addr.id, self.addr.domain);
-        let (mut halt, halted) = stop::pair();
-        let backs = [
-            task::spawn(self.pool.clone().run(halted.clone())),
-            task::spawn(self.writes.ledger.clone().run(halted)),
+        let (mut stop_last, stopped_last) = stop::pair();
+        let late_tasks = [
+            task::spawn(self.pool.clone().run(stopped_last.clone())),
+            task::spawn(self.writes.ledger.clone().run(stopped_last)),
         ];
         let loops = [
             task::spawn(self.clone().heartbeat()),
             task::spawn(self.clone().schedule()),
-            task::spawn(self.clone().watch()),
+            task::spawn(self.clone().watch_catalogue()),
             task::spawn(self.clone().follow_instances()),
         ];
         let leave = async {
@@ -142,46 +142,48 @@
             self.members.lock().await.leave(&self.platform).await;
         };
         let (served, ()) = futures::join!(http, leave);
-        halt.fire();
-        futures::future::join_all(backs).await;
+        stop_last.fire();
+        futures::future::join_all(late_tasks).await;
         log::info!("entry {} stopped", self.addr.id);
         served?;
         Ok(())
     }
 
-    /// Whether the balancer should send this instance new requests: from when it has read the
-    /// worker list, without which it refuses every submission, until it is told to stop.
+    /// Returns whether the load balancer should send new requests to this instance. It is ready
+    /// once it has read the worker list, without which it refuses every submission, and until it is
+    /// asked to stop.
     pub fn ready(&self) -> bool {
         !self.stop.fired() && self.inventory.lock().unwrap().is_some()
     }
 
-    /// Sleeps `ms` or until the stop; false once stopped.
-    async fn nap(&self, ms: u64) -> bool {
+    /// Sleeps for `ms` or until the stop. Returns false once stopped.
+    async fn sleep_unless_stopped(&self, ms: u64) -> bool {
         self.stop.unless_fired(self.clock.sleep(ms)).await;
         !self.stop.fired()
     }
 
-    /// The catalogue in force here.
+    /// Returns the catalogue in force on this instance.
     pub fn catalogue(&self) -> Arc<catalogue::Catalogue> {
         self.cat.lock().unwrap().clone()
     }
 
-    /// Puts `cat` in force unless a newer one is: a slower refresh never takes back an edit.
-    fn adopt(&self, cat: catalogue::Catalogue) -> Arc<catalogue::Catalogue> {
-        let mut held = self.cat.lock().unwrap();
-        if cat.version > held.version {
+    /// Puts `cat` in force unless the current version is the same or later, so that a slow refresh
+    /// never reverts an edit. Returns the catalogue in force.
+    fn install_catalogue(&self, cat: catalogue::Catalogue) -> Arc<catalogue::Catalogue> {
+        let mut current = self.cat.lock().unwrap();
+        if cat.version > current.version {
             log::info!("catalogue version {} in force", cat.version);
-            *held = Arc::new(cat);
+            *current = Arc::new(cat);
         }
-        held.clone()
+        current.clone()
     }
 
-    /// Brings the catalogue held here up to the table's version and returns what is in force.
-    /// While the table is down the last catalogue held stays in force.
+    /// Updates the catalogue to the table's version and returns the catalogue in force. The last
+    /// one stays in force while the table is unavailable.
     pub async fn refresh_catalogue(&self) -> Arc<catalogue::Catalogue> {
         let mut cat = catalogue::Catalogue::clone(&self.catalogue());
         match catalogue::catch_up(&self.platform, &mut cat).await {
-            Ok(true) => self.adopt(cat),
+            Ok(true) => self.install_catalogue(cat),
             Ok(false) => self.catalogue(),
             Err(e) => {
                 log::debug!("catalogue watch: {e}");
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The state dump.
+    /// Returns the state dump that `/debug/state` answers.
     pub async fn dump(&self) -> serde_json::Value {
         let m = self.members.lock().await;
         let cat = self.catalogue();
@@ -209,7 +211,7 @@
     }
 }
 
-/// What the dump shows of the scheduler.
+/// State of the scheduler for the state dump.
 fn view(s: &sched::Sched) -> serde_json::Value {
     let shards: BTreeMap<&String, serde_json::Value> = s
         .shards
@@ -224,7 +226,7 @@
             (name, shard)
         })
         .collect();
-    let odd: BTreeMap<&String, serde_json::Value> = s
+    let impaired: BTreeMap<&String, serde_json::Value> = s
         .workers
         .iter()
         .filter(|(_, w)| w.cut || w.avoid > 0 || !w.blame.is_empty())
@@ -235,7 +237,7 @@
         })
         .collect();
     serde_json::json!({
-        "counts": s.counts, "jobs": s.jobs.len(), "shards": shards, "workers": odd,
+        "counts": s.counts, "jobs": s.jobs.len(), "shards": shards, "workers": impaired,
         "quotas": s.quotas,
     })
 }
--- a/src/entry/policy.rs
+++ b/src/entry/policy.rs
@@ -1,11 +1,12 @@
-//! Placement policies, one per class of work, each registering itself with the kernel.
+//! Placement policies, one per class of work, registered with the kernel's policy registry.
 
 use crate::kernel::arena::WorkerKey;
 use crate::kernel::registry::{Candidate, Policy};
 use crate::kernel::res::{Class, Resources};
 
-/// Places tasks one by one on the fitting worker that `rank` puts first (lowest), taking each
-/// choice's room off before the next, so that the chosen set never oversells a worker.
+/// Chooses a worker for each of up to `count` tasks: the one with the lowest `rank` on which
+/// `demand` fits. The capacity of each choice is subtracted before the next one, so that the
+/// choices together never overcommit a worker.
 fn greedy(
     demand: &Resources,
     count: usize,
@@ -25,24 +26,24 @@
     out
 }
 
-/// Best fit: the worker left with the least room, to pack tightly (batch).
+/// Best fit, for batch work: the worker that is left with the least free capacity.
 fn best_fit(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>> {
     Some(greedy(demand, count, pool, |c| (c.free.sub(demand).slack(&c.cap), 0)))
 }
 
-/// Worst fit: the worker with the most room, so urgent work starts without waiting.
+/// Worst fit, for urgent work: the worker with the most free capacity.
 fn worst_fit(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>> {
     Some(greedy(demand, count, pool, |c| (1000 - c.free.slack(&c.cap).min(1000), 0)))
 }
 
-/// Spread: fewest tasks of the same job first, then most room (services).
+/// Spread, for services: fewest tasks of the same job first, then the most free capacity.
 fn spread(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>> {
     Some(greedy(demand, count, pool, |c| {
         (c.same_job.into(), 1000 - c.free.slack(&c.cap).min(1000))
     }))
 }
 
-/// All or nothing: best fit for every task, or no placement at all (gangs).
+/// All or nothing, for gangs: best fit for all tasks, or no placement at all.
 fn all_or_nothing(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>> {
     let chosen = best_fit(demand, count, pool)?;
     (chosen.len() == count).then_some(chosen)
--- a/src/entry/route/link.rs
+++ b/src/entry/route/link.rs
@@ -1,4 +1,5 @@
-//! One connection to a runner: kept up with backoff, pinged when idle, dropped when silent.
+//! Connection to one runner: reconnects with backoff, sends pings when idle, and closes the
+//! connection when no frame arrives for `idle_ms`.
 
 use super::{Pool, RunnerKey};
 use crate::kernel::clock::Millis;
@@ -14,40 +15,46 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex};
 
-/// Wait between reconnection attempts, ms (doubles up to [`RECONNECT_MAX_MS`]).
+/// Delay before the first reconnection attempt, ms; it doubles up to [`RECONNECT_MAX_MS`].
 const RECONNECT_MS: u64 = 50;
 
-/// Longest wait between reconnection attempts, ms.
+/// Longest delay between reconnection attempts, ms.
 const RECONNECT_MAX_MS: u64 = 2_000;
 
-/// Frames that may wait to be written to one connection.
+/// Most frames queued for writing on one connection.
 const SEND_QUEUE: usize = 1024;
 
 /// State of the connection to one runner.
 #[derive(Debug, Default)]
 pub(super) struct Link {
+    /// Queue of frames to write; none while not connected.
     pub tx: Option<channel::Sender<Frame>>,
+    /// Requests without an answer yet, by correlation id.
     pub pending: BTreeMap<u64, oneshot::Sender<Frame>>,
-    /// The life of the runner at the other end, once it has said hello.
+    /// Incarnation of the runner, from its hello frame; none while not connected.
     pub incarnation: Option<u64>,
-    /// The instance list calls the runner leaving.
-    pub listed: bool,
-    /// The runner itself said it is leaving.
-    pub said: bool,
+    /// The instance list marks the runner as leaving.
+    pub listed_leaving: bool,
+    /// The runner announced on this connection that it is leaving.
+    pub announced_leaving: bool,
+    /// Consecutive failed requests.
     pub fails: u32,
-    pub ejected: Millis,
-    pub last: Millis,
+    /// Local time until which the runner is ejected, ms.
+    pub ejected_until: Millis,
+    /// Local time of the last frame received, ms.
+    pub last_frame: Millis,
+    /// Number of connections that ended.
     pub drops: u64,
 }
 
 impl Link {
-    /// Whether new requests may go here.
-    pub fn open(&self, now: Millis) -> bool {
+    /// Returns whether new requests may be sent to the runner.
+    pub fn accepts_requests(&self, now: Millis) -> bool {
         self.tx.is_some()
             && self.incarnation.is_some()
-            && !self.listed
-            && !self.said
-            && self.ejected <= now
+            && !self.listed_leaving
+            && !self.announced_leaving
+            && self.ejected_until <= now
     }
 }
 
@@ -58,15 +65,15 @@
     pub link: Mutex<Link>,
 }
 
-/// Whether to go on reading a connection.
+/// Whether to continue reading from a connection.
 enum Next {
-    Go,
+    Continue,
     Close,
 }
 
 impl Pool {
-    /// Keeps a connection to runner `k` until `stop`.
-    pub(super) async fn keep(self: Arc<Self>, k: RunnerKey, stop: Stop) {
+    /// Keeps a connection to runner `k` open until `stop`, with reconnects.
+    pub(super) async fn keep_connected(self: Arc<Self>, k: RunnerKey, stop: Stop) {
         let mut backoff = RECONNECT_MS;
         while !stop.fired() {
             let addr = self.runners.get(k).addr.listen;
@@ -78,7 +85,7 @@
             match conn.await {
                 Ok(Some((ws, _))) => {
                     backoff = RECONNECT_MS;
-                    self.serve_link(k, ws, &stop).await;
+                    self.run_connection(k, ws, &stop).await;
                 }
                 _ => {
                     stop.unless_fired(self.clock.sleep(backoff)).await;
@@ -88,7 +95,9 @@
         }
     }
 
-    async fn serve_link<S>(&self, k: RunnerKey, ws: WebSocketStream<S>, stop: &Stop)
+    /// Reads and writes frames on a connection until it closes, fails or times out, or `stop`
+    /// fires.
+    async fn run_connection<S>(&self, k: RunnerKey, ws: WebSocketStream<S>, stop: &Stop)
     where
         S: futures::AsyncRead + futures::AsyncWrite + Unpin + Send + 'static,
     {
@@ -97,8 +106,8 @@
         {
             let mut l = self.runners.get(k).link.lock().unwrap();
             l.tx = Some(tx.clone());
-            l.said = false;
-            l.last = self.clock.now();
+            l.announced_leaving = false;
+            l.last_frame = self.clock.now();
         }
         let writer = async_std::task::spawn(async move {
             while let Ok(f) = rx.recv().await {
@@ -117,8 +126,8 @@
                     nonce += 1;
                     self.ping(k, &tx, nonce)
                 }
-                Ok(Some(Ok(Message::Binary(bytes)))) => self.take_frame(k, &bytes),
-                Ok(Some(Ok(_))) => Next::Go,
+                Ok(Some(Ok(Message::Binary(bytes)))) => self.handle_frame(k, &bytes),
+                Ok(Some(Ok(_))) => Next::Continue,
                 Ok(None) | Ok(Some(Err(_))) => Next::Close,
             };
             if matches!(next, Next::Close) {
@@ -130,57 +139,58 @@
             l.tx = None;
             l.incarnation = None;
             l.drops += 1;
-            // Waiters of this connection learn at once that no answer will come.
+            // Requests that wait on this connection fail at once.
             l.pending.clear();
         }
         drop(tx);
         writer.await;
     }
 
-    /// Pings an idle connection, or drops it: one that stays open but carries nothing, because
-    /// something between the ends lost track of it, is noticed by unanswered pings for
-    /// `idle_ms` and replaced by a fresh one.
+    /// Pings an idle connection, or closes it if no frame arrived for `idle_ms`. A connection that
+    /// stays open but carries no data, for example after a device on the path lost its state, is
+    /// replaced in this way.
     fn ping(&self, k: RunnerKey, tx: &channel::Sender<Frame>, nonce: u64) -> Next {
-        let r = self.runners.get(k);
-        let last = r.link.lock().unwrap().last;
-        if self.clock.now().saturating_sub(last) >= self.timing.idle_ms {
+        let runner = self.runners.get(k);
+        let last_frame = runner.link.lock().unwrap().last_frame;
+        if self.clock.now().saturating_sub(last_frame) >= self.timing.idle_ms {
             self.counts.silent.fetch_add(1, Ordering::Relaxed);
-            log::warn!("runner {} connection silent, dropped", r.addr.id);
+            log::warn!("runner {} connection unresponsive, closed", runner.addr.id);
             return Next::Close;
         }
         let _ = tx.try_send(Frame::Ping { nonce });
-        Next::Go
+        Next::Continue
     }
 
-    fn take_frame(&self, k: RunnerKey, bytes: &[u8]) -> Next {
+    /// Decodes a frame and handles it, or passes it to the request that waits for it.
+    fn handle_frame(&self, k: RunnerKey, bytes: &[u8]) -> Next {
         self.counts.received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         let Ok(frame) = wire::decode(bytes) else {
             metrics::counter!("entry_bad_frames").increment(1);
-            return Next::Go;
+            return Next::Continue;
         };
-        let r = self.runners.get(k);
-        let mut l = r.link.lock().unwrap();
-        l.last = self.clock.now();
+        let runner = self.runners.get(k);
+        let mut l = runner.link.lock().unwrap();
+        l.last_frame = self.clock.now();
         let id = match &frame {
             Frame::Answer { id, .. } | Frame::Done { id, .. } | Frame::Busy { id, .. } => *id,
             Frame::Hello { incarnation } => {
                 l.incarnation = Some(*incarnation);
-                return Next::Go;
+                return Next::Continue;
             }
             Frame::Leaving { .. } => {
-                log::info!("runner {} says it is leaving", r.addr.id);
-                l.said = true;
-                return Next::Go;
+                log::info!("runner {} announced that it is leaving", runner.addr.id);
+                l.announced_leaving = true;
+                return Next::Continue;
             }
             Frame::Lookup { .. }
             | Frame::Write { .. }
             | Frame::Query { .. }
             | Frame::Ping { .. }
-            | Frame::Pong { .. } => return Next::Go,
+            | Frame::Pong { .. } => return Next::Continue,
         };
         if let Some(waiter) = l.pending.remove(&id) {
             let _ = waiter.send(frame);
         }
-        Next::Go
+        Next::Continue
     }
 }
--- a/src/entry/route/mod.rs
+++ b/src/entry/route/mod.rs
@@ -1,10 +1,12 @@
-//! Routing lookups and writes to runners over pooled websocket connections.
+//! Routes lookups and writes to runners over pooled WebSocket connections.
 //!
-//! Each request carries a correlation id, so answers never cross. Lookups are idempotent:
-//! after `hedge_ms` without an answer, or at once after a refusal, another runner is tried
-//! within a retry budget; the first whole answer wins. Writes are not idempotent; see
-//! [`crate::entry::writes`]. Runners that fail in a row are ejected for a while; runners that
-//! are leaving get nothing new; a runner with too much in flight gets no more.
+//! A correlation id in each request matches answers to requests. Lookups are idempotent: after
+//! `hedge_ms` without an answer, or at once after a refusal, another runner is tried within a
+//! retry budget, and the first matching answer is used. Writes are not idempotent; see
+//! [`crate::entry::writes`].
+//!
+//! Runners with [`EJECT_AFTER`] consecutive failures are ejected for [`EJECT_MS`]. Runners that are
+//! leaving, or that have [`MAX_IN_FLIGHT`] requests in flight, get no new requests.
 
 mod budget;
 mod link;
@@ -26,64 +28,64 @@
     RunnerKey
 );
 
-/// Failures in a row after which a runner is ejected.
+/// Consecutive failures after which a runner is ejected.
 pub const EJECT_AFTER: u32 = 3;
 
-/// How long an ejected runner gets nothing, ms.
+/// Time for which an ejected runner gets no requests, ms.
 pub const EJECT_MS: u64 = 5_000;
 
-/// Requests in flight to one runner from one entry above which it gets no more: past this they
-/// would only wait in its queue, and are better refused at once.
+/// Most requests in flight from one entry instance to one runner. Further requests would only wait
+/// in the runner's queue, so they are refused at once.
 pub const MAX_IN_FLIGHT: usize = 256;
 
-/// Shortest wait that a refused caller is asked for, ms.
-const RETRY_MS: u64 = 100;
+/// Shortest retry delay sent to a refused caller, ms.
+const MIN_RETRY_MS: u64 = 100;
 
-/// Why a request got no answer.
+/// Reason why a request has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No runner can take it now; come back after `retry_ms`.
+    /// No runner is available now; the caller may retry after `retry_ms`.
     #[error("no runner available, retry in {retry_ms} ms")]
     NoRunner {
-        /// When to come back.
+        /// Delay before a retry, ms.
         retry_ms: u64,
     },
-    /// No answer within the deadline. For a write the outcome is unknown.
+    /// No answer within the deadline, in ms. The outcome of a write is unknown then.
     #[error("no answer within {0} ms")]
     Timeout(u64),
-    /// The runner refused (busy or stopping); nothing ran.
+    /// The runner refused the request because it is busy or stopping; nothing was executed.
     #[error("runner busy, retry in {retry_ms} ms")]
     Busy {
-        /// When to come back.
+        /// Delay before a retry, ms.
         retry_ms: u64,
     },
 }
 
-/// A whole answer to a lookup.
+/// Answer to a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The key asked for.
+    /// Key of the lookup.
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     pub value: String,
-    /// Runner that answered.
+    /// Id of the runner that answered.
     pub runner: String,
 }
 
 /// Counters of the pool.
 #[derive(Debug, Default, Serialize)]
 pub struct PoolCounts {
-    /// Requests sent, tries included.
+    /// Requests sent to runners, including retries.
     pub sent: AtomicU64,
-    /// Second and later tries of lookups.
+    /// Second and later attempts of lookups.
     pub hedged: AtomicU64,
-    /// Connections dropped because they went silent.
+    /// Connections closed because no frame arrived for `idle_ms`.
     pub silent: AtomicU64,
     /// Bytes of frames received.
     pub received: AtomicU64,
 }
 
-/// Connections to every runner of the cell.
+/// Connections to all runners of the cell.
 pub struct Pool {
     runners: Arena<RunnerKey, link::Slot>,
     domain: String,
@@ -91,15 +93,15 @@
     clock: Clock,
     next: AtomicU64,
     budget: budget::Budget,
-    /// Counters.
+    /// Counters since the process started.
     pub counts: PoolCounts,
 }
 
-/// A request on its way: runner, correlation id, where its answer will come.
-type Flight = (RunnerKey, u64, oneshot::Receiver<Frame>);
+/// A request in flight: runner, correlation id and receiver of the answer.
+type InFlight = (RunnerKey, u64, oneshot::Receiver<Frame>);
 
 impl Pool {
-    /// A pool of `runners`; call [`Pool::run`] to connect.
+    /// Creates a pool of `runners`, which [`Pool::run`] connects.
     pub fn new(runners: &[RunnerAddr], domain: &str, timing: Timing, clock: Clock) -> Arc<Self> {
         let mut arena = Arena::default();
         for r in runners {
@@ -116,35 +118,36 @@
         })
     }
 
-    /// Keeps one connection to every runner until `stop`; the parent joins each link task.
+    /// Keeps one connection to each runner until `stop`, and returns once all of them have ended.
     pub async fn run(self: Arc<Self>, stop: Stop) {
         let tasks: Vec<_> = self
             .runners
             .iter()
-            .map(|(k, _)| async_std::task::spawn(self.clone().keep(k, stop.clone())))
+            .map(|(k, _)| async_std::task::spawn(self.clone().keep_connected(k, stop.clone())))
             .collect();
         future::join_all(tasks).await;
     }
 
-    /// Marks the runners named in `leaving` as leaving and the others as not.
+    /// Marks the runners named in `leaving` as leaving and all others as not leaving.
     pub fn set_leaving(&self, leaving: &BTreeSet<String>) {
         for (_, r) in self.runners.iter() {
-            let now = leaving.contains(&r.addr.id);
+            let listed = leaving.contains(&r.addr.id);
             let mut l = r.link.lock().unwrap();
-            if l.listed != now {
-                log::info!("runner {} leaving={now}", r.addr.id);
+            if l.listed_leaving != listed {
+                log::info!("runner {} leaving={listed}", r.addr.id);
             }
-            l.listed = now;
+            l.listed_leaving = listed;
         }
     }
 
-    /// Picks a runner for a new request: open, not saturated, not in `skip`; own failure domain
-    /// first, then fewest requests in flight.
+    /// Picks a runner for a new request: one that accepts requests, has fewer than
+    /// [`MAX_IN_FLIGHT`] in flight and is not in `skip`. Runners of the own failure domain are
+    /// preferred, then those with the fewest requests in flight.
     pub fn pick(&self, skip: &[RunnerKey]) -> Option<RunnerKey> {
         let now = self.clock.now();
         let rank = |k: RunnerKey, r: &link::Slot| {
             let l = r.link.lock().unwrap();
-            let ok = l.open(now) && l.pending.len() < MAX_IN_FLIGHT;
+            let ok = l.accepts_requests(now) && l.pending.len() < MAX_IN_FLIGHT;
             ok.then(|| ((r.addr.domain != self.domain, l.pending.len()), k))
         };
         self.runners
@@ -155,23 +158,24 @@
             .map(|(_, k)| k)
     }
 
-    /// Name and incarnation of runner `k`, while connected.
+    /// Returns the id and incarnation of runner `k`; none while it is not connected.
     pub fn identity(&self, k: RunnerKey) -> Option<(String, u64)> {
         let r = self.runners.get(k);
         let incarnation = r.link.lock().unwrap().incarnation?;
         Some((r.addr.id.clone(), incarnation))
     }
 
-    /// The connected runner named `id`, if it still lives under `incarnation`.
+    /// Returns the connected runner `id` if it still has this `incarnation`.
     pub fn find(&self, id: &str, incarnation: u64) -> Option<RunnerKey> {
-        let lives = |r: &link::Slot| {
+        let matches = |r: &link::Slot| {
             r.addr.id == id && r.link.lock().unwrap().incarnation == Some(incarnation)
         };
-        self.runners.iter().find(|(_, r)| lives(r)).map(|(k, _)| k)
+        self.runners.iter().find(|(_, r)| matches(r)).map(|(k, _)| k)
     }
 
-    /// Notes how a request to `k` went.
-    pub fn note(&self, k: RunnerKey, ok: bool) {
+    /// Records whether a request to `k` succeeded, and ejects the runner after [`EJECT_AFTER`]
+    /// consecutive failures.
+    pub fn record_result(&self, k: RunnerKey, ok: bool) {
         let r = self.runners.get(k);
         let mut l = r.link.lock().unwrap();
         if ok {
@@ -179,23 +183,24 @@
             return;
         }
         l.fails += 1;
-        if l.fails >= EJECT_AFTER && l.ejected <= self.clock.now() {
-            // Outlier ejection: a runner that keeps failing is noticed by failures in a row and
-            // gets nothing for a while, so that one bad backend does not eat every deadline.
-            l.ejected = self.clock.now() + EJECT_MS;
+        if l.fails >= EJECT_AFTER && l.ejected_until <= self.clock.now() {
+            // Outlier ejection: a failing runner gets no requests for a limited time, so that
+            // requests do not spend their deadlines on it.
+            l.ejected_until = self.clock.now() + EJECT_MS;
             log::warn!("runner {} ejected for {EJECT_MS} ms", r.addr.id);
             metrics::counter!("entry_runner_ejections").increment(1);
         }
     }
 
-    /// Sends a frame (made with a fresh id) to runner `k`, if it still lives under
-    /// `incarnation` where one is given.
+    /// Sends to runner `k` the frame that `make` returns for a new correlation id. Returns none if
+    /// nothing was sent: the runner is not connected, its queue is full, or it has another
+    /// incarnation than the given one.
     fn send(
         &self,
         k: RunnerKey,
         incarnation: Option<u64>,
         make: impl FnOnce(u64) -> Frame,
-    ) -> Option<Flight> {
+    ) -> Option<InFlight> {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         let mut l = self.runners.get(k).link.lock().unwrap();
@@ -209,11 +214,12 @@
         Some((k, id, rx))
     }
 
-    fn forget(&self, k: RunnerKey, id: u64) {
+    /// Removes a request from the list of those that wait for an answer.
+    fn drop_request(&self, k: RunnerKey, id: u64) {
         self.runners.get(k).link.lock().unwrap().pending.remove(&id);
     }
 
-    /// Sends one frame to this life of runner `k` and waits up to `ms` for its answer.
+    /// Sends one frame to this incarnation of runner `k` and waits up to `ms` for its answer.
     /// [`RouteError::NoRunner`] means that nothing was sent.
     pub async fn exchange(
         &self,
@@ -224,79 +230,85 @@
     ) -> Result<Frame, RouteError> {
         let no_runner = RouteError::NoRunner { retry_ms: self.retry_ms() };
         let (k, id, rx) = self.send(k, Some(incarnation), make).ok_or(no_runner)?;
-        let got = self.clock.timeout(ms, rx).await;
-        self.forget(k, id);
-        match got {
+        let reply = self.clock.timeout(ms, rx).await;
+        self.drop_request(k, id);
+        match reply {
             Ok(Ok(frame)) => Ok(frame),
             Ok(Err(_)) | Err(_) => Err(RouteError::Timeout(ms)),
         }
     }
 
-    /// When a refused caller should come back, ms.
+    /// Retry delay for a refused caller, ms.
     pub fn retry_ms(&self) -> u64 {
-        self.timing.hedge_ms.max(RETRY_MS)
+        self.timing.hedge_ms.max(MIN_RETRY_MS)
     }
 
-    /// Looks `key` up on some runner, trying others within the retry budget.
+    /// Looks up `key` on a runner, with retries on other runners within the retry budget.
     pub async fn lookup(&self, key: &str) -> Result<Answer, RouteError> {
         self.budget.earn();
         let deadline = self.clock.now() + self.timing.lookup_ms;
         let mut tried: Vec<RunnerKey> = Vec::new();
-        let mut flights: Vec<Flight> = Vec::new();
+        let mut in_flight: Vec<InFlight> = Vec::new();
         let mut busy = None;
-        let mut free = false;
+        let mut free_retry = false;
         let out = loop {
             let now = self.clock.now();
             if now >= deadline {
                 break Err(RouteError::Timeout(self.timing.lookup_ms));
             }
-            if flights.len() < 2 {
-                flights.extend(self.try_next(key, &mut tried, free));
-                free = false;
+            if in_flight.len() < 2 {
+                in_flight.extend(self.try_next(key, &mut tried, free_retry));
+                free_retry = false;
             }
-            if flights.is_empty() {
-                // Given up: nothing is on its way, and no runner or no retry is left.
+            if in_flight.is_empty() {
+                // No request is in flight, and no runner or no retry is left.
                 let retry_ms = self.retry_ms();
                 break Err(busy.unwrap_or(RouteError::NoRunner { retry_ms }));
             }
-            let left = deadline - now;
-            let wait = if flights.len() == 1 { left.min(self.timing.hedge_ms) } else { left };
-            let rxs = flights.iter_mut().map(|(_, _, rx)| rx).collect::<Vec<_>>();
+            let remaining = deadline - now;
+            let wait =
+                if in_flight.len() == 1 { remaining.min(self.timing.hedge_ms) } else { remaining };
+            let rxs = in_flight.iter_mut().map(|(_, _, rx)| rx).collect::<Vec<_>>();
             let Ok((res, i, _)) = self.clock.timeout(wait, future::select_all(rxs)).await else {
                 continue;
             };
-            let (k, id, _) = flights.remove(i);
-            self.forget(k, id);
+            let (k, id, _) = in_flight.remove(i);
+            self.drop_request(k, id);
             match res {
-                Ok(Frame::Answer { key: got, value, .. }) if got == key => {
-                    self.note(k, true);
+                Ok(Frame::Answer { key: answered, value, .. }) if answered == key => {
+                    self.record_result(k, true);
                     let runner = self.runners.get(k).addr.id.clone();
-                    break Ok(Answer { key: got, value, runner });
+                    break Ok(Answer { key: answered, value, runner });
                 }
                 Ok(Frame::Busy { retry_ms, .. }) => {
                     busy = Some(RouteError::Busy { retry_ms });
-                    // A runner that is leaving refuses only what crossed its notice on the way:
-                    // trying elsewhere adds no load, so it costs no retry.
-                    free = self.runners.get(k).link.lock().unwrap().said;
+                    // A leaving runner refuses only requests that were sent before its notice
+                    // arrived. A retry elsewhere adds no load, so it does not use the budget.
+                    free_retry = self.runners.get(k).link.lock().unwrap().announced_leaving;
                 }
-                _ => self.note(k, false),
+                _ => self.record_result(k, false),
             }
         };
-        for (k, id, _) in flights {
-            self.forget(k, id);
+        for (k, id, _) in in_flight {
+            self.drop_request(k, id);
             if out.is_err() {
-                self.note(k, false);
+                self.record_result(k, false);
             }
         }
         out
     }
 
-    /// Sends the lookup to a runner not tried yet; every try after the first costs a retry,
-    /// unless it is free.
-    fn try_next(&self, key: &str, tried: &mut Vec<RunnerKey>, free: bool) -> Option<Flight> {
+    /// Sends the lookup to a runner not tried yet. Every attempt after the first takes a retry from
+    /// the budget, unless `free_retry` is set.
+    fn try_next(
+        &self,
+        key: &str,
+        tried: &mut Vec<RunnerKey>,
+        free_retry: bool,
+    ) -> Option<InFlight> {
         let k = self.pick(tried)?;
         if !tried.is_empty() {
-            if !free && !self.budget.take() {
+            if !free_retry && !self.budget.try_take() {
                 return None;
             }
             self.counts.hedged.fetch_add(1, Ordering::Relaxed);
@@ -305,7 +317,7 @@
         self.send(k, None, |id| Frame::Lookup { id, key: key.to_string() })
     }
 
-    /// State of every link, for the dump.
+    /// Returns the state of all connections, for the state dump.
     pub fn dump(&self) -> serde_json::Value {
         let links: BTreeMap<String, serde_json::Value> = self
             .runners
@@ -314,7 +326,8 @@
                 let l = r.link.lock().unwrap();
                 let v = serde_json::json!({
                     "connected": l.incarnation.is_some(), "incarnation": l.incarnation,
-                    "leaving": l.listed || l.said, "fails": l.fails, "ejected": l.ejected,
+                    "leaving": l.listed_leaving || l.announced_leaving,
+                    "fails": l.fails, "ejected": l.ejected_until,
                     "in_flight": l.pending.len(), "drops": l.drops,
                 });
                 (r.addr.id.clone(), v)
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -2,18 +2,18 @@
 //!
 //! | key | value | written by |
 //! |---|---|---|
-//! | `member/<domain>/<entry>` | lease (membership heartbeat) | each entry, every heartbeat |
+//! | `member/<domain>/<entry>` | membership lease | each entry instance, with every heartbeat |
 //! | `shard/<shard>` | lease with fencing epoch | the shard's holder |
 //! | `catver` | [`CatVersion`] | catalogue edits |
 //! | `cat/<name>` | catalogue entry | catalogue edits |
 //! | `catlog/<version>` | the edit that made `version` | catalogue edits |
-//! | `job/<id>` | [`JobRow`] | submission, the shard holder, cancellation |
-//! | `pend/<domain>/<shard>/<id>` | `{}`: the job wants the shard holder's attention (tasks waiting, or a cancellation to carry out) | submission, cancellation, the holder |
-//! | `place/<shard>/<task>` | `PlaceRow`: what is committed on a worker, checked by it before a start | the holder, cancellation |
-//! | `quota/<domain>/<team>` | [`QuotaRow`]: the team's quota granted to shards | shard holders |
-//! | `done/<domain>/<shard>/<ms>/<id>` | `{}`: the job ended then; swept to a report later | the holder |
-//! | `write/<id>` | [`WriteRow`]: which runner a write was sent to, and its outcome | entries |
-//! | `wrote/<domain>/<ms>/<id>` | `{}`: when the write was claimed, for the sweep | entries |
+//! | `job/<id>` | [`JobRow`] | submission, the shard's holder, cancellation |
+//! | `pend/<domain>/<shard>/<id>` | `{}`: pending-job entry (tasks wait, or a cancellation is to be carried out) | submission, cancellation, the shard's holder |
+//! | `place/<shard>/<task>` | `PlaceRow`: the resources of a task committed on a worker, which checks it before a start | the shard's holder, cancellation |
+//! | `quota/<domain>/<team>` | [`QuotaRow`]: the portions of the team's quota granted to shards | the holders of the shards |
+//! | `done/<domain>/<shard>/<ms>/<id>` | `{}`: the job ended at this time; removed later, after a report | submission, cancellation, the shard's holder |
+//! | `write/<id>` | [`WriteRow`]: the runner to which a write was sent, and its outcome | entry instances |
+//! | `wrote/<domain>/<ms>/<id>` | `{}`: time at which the write was recorded, for garbage collection | entry instances |
 
 use crate::kernel::clock::Millis;
 use crate::kernel::res::{Class, Resources};
@@ -22,86 +22,87 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The catalogue version row.
+/// Row with the catalogue version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatVersion {
-    /// Version of the catalogue; grows by one per accepted edit.
+    /// Version of the catalogue; each accepted edit adds one.
     pub version: u64,
 }
 
-/// What a caller submits: tasks of one catalogue entry.
+/// A job as submitted by a caller: tasks of one catalogue entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobSpec {
-    /// Catalogue entry the work belongs to (gives owner, team, class and limits).
+    /// Name of the catalogue entry, which gives owner, team, class and limits.
     pub entry: String,
     /// Number of tasks, 1 to [`MAX_TASKS`].
     pub tasks: u32,
     /// Declared resources of each task.
     pub demand: Resources,
-    /// Declared run time of each task in ms; 0 for services that run until stopped.
+    /// Declared run time of each task, ms; 0 for services, which run until stopped.
     #[serde(default, skip_serializing_if = "is_default")]
     pub run_ms: u64,
-    /// Time allowed before the job must have started, ms after submission; none waits for
-    /// good (batch may queue overnight).
+    /// Time after the submission by which the job must have started, ms. Without it the job waits
+    /// without limit; batch work may wait overnight.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// Idempotency key: the same key submits the same job once.
+    /// Idempotency key, 1 to 128 bytes. Repeated submissions with the same key make one job.
     pub key: String,
 }
 
-/// Most tasks in one job.
+/// Most tasks of one job.
 pub const MAX_TASKS: u32 = 10_000;
 
-/// A job's state.
+/// State of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum JobState {
-    /// Some tasks wait for a place.
+    /// Some tasks wait for placement.
     Pending,
-    /// Every task placed; some run.
+    /// No task waits, and some are placed.
     Running,
-    /// Every task ended.
+    /// All tasks have ended.
     Finished {
-        /// Tasks that failed for good.
+        /// Number of tasks that failed permanently.
         failed: u32,
     },
-    /// Not run: no task of it was ever started, and none will be.
+    /// Not run: no task was ever placed, and none will be.
     Refused {
-        /// Why.
+        /// Reason of the refusal, for the caller.
         reason: String,
     },
     /// Cancelled by a caller.
     Cancelled,
 }
 
-/// A task's state.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waiting for a place.
+    /// Waiting for placement.
     #[default]
     Pending,
-    /// Placed and started (or being started) on `worker`.
+    /// Placed on `worker`, where it runs or is being started.
     Placed,
-    /// Ended well.
+    /// Finished successfully.
     Finished,
-    /// Failed on every try.
+    /// Failed permanently.
     Failed,
-    /// Refused before it ever started.
+    /// Refused before its first placement.
     Refused,
-    /// Cancelled.
+    /// Cancelled by a caller.
     Cancelled,
 }
 
 impl TaskState {
-    /// Whether nothing more happens to the task.
+    /// Returns whether the state is final.
     pub fn ended(self) -> bool {
         !matches!(self, Self::Pending | Self::Placed)
     }
 }
 
-/// Leaves fields at their default out of rows: job rows are most of what instances write.
+/// Used to leave out fields with their default value, because job rows are most of what instances
+/// write.
 fn is_default<T: Default + PartialEq>(v: &T) -> bool {
     *v == T::default()
 }
@@ -109,104 +110,104 @@
 /// One task of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow {
-    /// State.
+    /// State of the task.
     pub state: TaskState,
-    /// Worker it is placed on.
+    /// Worker on which the task is placed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub worker: Option<String>,
-    /// Fencing epoch of the placement.
+    /// Fencing epoch under which the task was placed.
     #[serde(default, skip_serializing_if = "is_default")]
     pub epoch: u64,
-    /// Number of starts so far; names the current one.
+    /// Number of placements so far, which identifies the current one.
     #[serde(default, skip_serializing_if = "is_default")]
     pub attempt: u32,
     /// Starts that ended as failed.
     #[serde(default, skip_serializing_if = "is_default")]
     pub fails: u32,
-    /// Share of the work done and checkpointed, percent.
+    /// Work done up to the last checkpoint, percent.
     #[serde(default, skip_serializing_if = "is_default")]
     pub saved: u8,
 }
 
-/// The job row.
+/// Row of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRow {
     /// Job id.
     pub id: String,
-    /// What was submitted.
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// Class, from the catalogue entry.
+    /// Class of work, from the catalogue entry.
     pub class: Class,
-    /// Team, from the catalogue entry.
+    /// Team whose quota is used, from the catalogue entry.
     pub team: String,
-    /// Catalogue version under which it was accepted.
+    /// Catalogue version under which the job was accepted.
     #[serde(default)]
     pub catalogue: u64,
-    /// Shard that places it.
+    /// Shard whose holder places the job.
     pub shard: String,
-    /// State.
+    /// State of the job.
     #[serde(flatten)]
     pub state: JobState,
-    /// Its tasks.
+    /// Tasks of the job, by number.
     pub tasks: Vec<TaskRow>,
-    /// When it was submitted, Unix ms.
+    /// Time of the submission, Unix ms.
     pub submitted: Millis,
-    /// When the first task was placed, Unix ms.
+    /// Time of the first placement of a task, Unix ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started: Option<Millis>,
-    /// How often the job moved to another shard for want of room.
+    /// Number of times that the job moved to another shard because it did not fit.
     #[serde(default, skip_serializing_if = "is_default")]
     pub moves: u32,
-    /// Workers on which its tasks failed last: others are tried first.
+    /// Workers on which tasks of the job failed; other workers are preferred.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub shun: BTreeSet<String>,
-    /// No task is placed before this, Unix ms: the wait after a failure.
+    /// Earliest time of the next placement after a failure, Unix ms.
     #[serde(default, skip_serializing_if = "is_default")]
     pub retry: Millis,
 }
 
 impl JobRow {
-    /// Task id of task `n`.
+    /// Returns the id of task `n`.
     pub fn task_id(&self, n: usize) -> String {
         format!("{}.{n}", self.id)
     }
 
-    /// Whether some task was ever placed.
+    /// Returns whether any task was ever placed.
     pub fn ever_placed(&self) -> bool {
         self.tasks.iter().any(|t| t.attempt > 0)
     }
 
-    /// Whether some task is placed now.
+    /// Returns whether any task is placed now.
     pub fn placed(&self) -> bool {
         self.tasks.iter().any(|t| t.state == TaskState::Placed)
     }
 
-    /// Whether nothing more happens to the job.
+    /// Returns whether the state of the job is final.
     pub fn ended(&self) -> bool {
         !matches!(self.state, JobState::Pending | JobState::Running)
     }
 
-    /// Failure domain of the job's shard.
+    /// Returns the failure domain of the job's shard.
     pub fn domain(&self) -> &str {
         self.shard.split_once("-r").map_or(self.shard.as_str(), |(d, _)| d)
     }
 
-    /// Whether the job has tasks waiting.
+    /// Returns whether any task waits for placement.
     pub fn waiting(&self) -> bool {
         self.tasks.iter().any(|t| t.state == TaskState::Pending)
     }
 }
 
-/// A team's quota in one failure domain, granted in parts to its shards so that each holder can
-/// place against its own part without asking the others.
+/// Quota of a team in one failure domain, granted in portions to its shards, so that each holder
+/// can place tasks within its own grant without contact to the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaRow {
-    /// Shard to the part granted to it. The sum never exceeds the quota in force when granted.
+    /// Grants by shard. Their sum never exceeds the quota in force at the time of a grant.
     pub granted: BTreeMap<String, Resources>,
 }
 
 impl QuotaRow {
-    /// The sum granted to shards other than `shard`.
+    /// Returns the sum of the grants to shards other than `shard`.
     pub fn others(&self, shard: &str) -> Resources {
         self.granted
             .iter()
@@ -215,19 +216,19 @@
     }
 }
 
-/// The record of a write: made before it is sent, so that a repeated write is recognised.
+/// Record of a write, committed before the write is sent, so that a repeat is recognised.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteRow {
-    /// Runner it was sent to; a repeat asks there and nowhere else.
+    /// Runner to which the write is sent. A repeat queries only this runner.
     pub runner: String,
-    /// Which life of the runner.
+    /// Incarnation of the runner.
     pub incarnation: u64,
-    /// Executions reported by the runner, once known.
+    /// Number of executions that the runner reported; none while unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub runs: Option<u64>,
 }
 
-/// Writes a row that says all it has to by its key.
+/// Builds the operation that writes a marker: a row with an empty value.
 pub fn put_marker(key: String) -> Op {
     Op::Put { key, value: serde_json::json!({}) }
 }
@@ -238,14 +239,14 @@
     Some((job, n.parse().ok()?))
 }
 
-/// Reads one row and decodes it, with its version; none if it is absent or not a `T`. One read
-/// of the table's budget.
+/// Reads and decodes one row, and returns it with its version; none if it is absent or not a `T`.
+/// Counts as one read in the table's budget.
 pub async fn read<T: serde::de::DeserializeOwned>(
     table: &Client,
     key: String,
 ) -> Result<Option<(T, u64)>, PlatformError> {
-    let got = table.get(vec![key.clone()]).await?;
-    Ok(got.get(&key).and_then(|r| Some((decode(&r.value)?, r.version))))
+    let rows = table.get(vec![key.clone()]).await?;
+    Ok(rows.get(&key).and_then(|r| Some((decode(&r.value)?, r.version))))
 }
 
 /// Prefix of job rows.
@@ -256,12 +257,12 @@
     format!("{JOB_PREFIX}{id}")
 }
 
-/// Prefix of the marks of a failure domain.
+/// Prefix of the pending-job entries of a failure domain.
 pub fn pend_prefix(domain: &str) -> String {
     format!("pend/{domain}/")
 }
 
-/// Key of a pending marker.
+/// Key of a pending-job entry.
 pub fn pend_key(domain: &str, shard: &str, id: &str) -> String {
     format!("{}{shard}/{id}", pend_prefix(domain))
 }
@@ -276,12 +277,12 @@
     format!("{}{team}", quota_prefix(domain))
 }
 
-/// Prefix of the ended-job markers of a shard.
+/// Prefix of the markers of ended jobs of a shard.
 pub fn done_prefix(domain: &str, shard: &str) -> String {
     format!("done/{domain}/{shard}/")
 }
 
-/// Key of an ended-job marker.
+/// Key of the marker of a job that ended at time `at`.
 pub fn done_key(domain: &str, shard: &str, at: Millis, id: &str) -> String {
     format!("{}{at:015}/{id}", done_prefix(domain, shard))
 }
@@ -291,12 +292,12 @@
     format!("write/{id}")
 }
 
-/// Prefix of the write-claim markers of a failure domain.
+/// Prefix of the markers of recorded writes in a failure domain.
 pub fn wrote_prefix(domain: &str) -> String {
     format!("wrote/{domain}/")
 }
 
-/// Key of a write-claim marker.
+/// Key of the marker of a write recorded at time `at`.
 pub fn wrote_key(domain: &str, at: Millis, id: &str) -> String {
     format!("{}{at:015}/{id}", wrote_prefix(domain))
 }
@@ -324,12 +325,12 @@
 /// Key of the catalogue version row.
 pub const CATVER: &str = "catver";
 
-/// Decodes a row's JSON value.
+/// Decodes the JSON value of a row; none if it is not a `T`.
 pub fn decode<T: serde::de::DeserializeOwned>(v: &serde_json::Value) -> Option<T> {
     serde_json::from_value(v.clone()).ok()
 }
 
-/// Encodes a value for a row.
+/// Encodes a value as the JSON value of a row.
 pub fn encode<T: Serialize>(v: &T) -> serde_json::Value {
     serde_json::to_value(v).expect("row types always serialise")
 }
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -1,8 +1,8 @@
-//! Committing a plan: one transaction for every shard it touches, fenced by each shard's lease
-//! and conditional on every row it read, with an idempotency key so that a lost answer can be
-//! asked for again.
+//! Commits a plan: one transaction for all shards that the plan changes, fenced by the lease of
+//! each shard and conditional on the version of every row that it replaces. It carries an
+//! idempotency key, so that it can be sent again after a lost answer.
 
-use super::plan::{Fault, Plan};
+use super::plan::{FailureCause, Plan};
 use super::{Cached, Ctx, Sched, AVOID_AFTER, AVOID_MS};
 use crate::entry::jobs;
 use crate::entry::rows;
@@ -13,32 +13,32 @@
 use crate::standin::{lease_key, place_key, LEASE_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At most one worker in this many of a shard is avoided at once: a wave of jobs that fail
-/// everywhere must not leave the shard without workers.
-const AVOID_ONE_IN: usize = 4;
+/// At most one worker in this many of a shard is avoided at a time, so that a wave of jobs that
+/// fail everywhere does not leave the shard without workers.
+const AVOID_AT_MOST_ONE_IN: usize = 4;
 
-/// Quota rows of teams that wait for quota are read anew every this many rounds.
+/// The quota rows of teams that wait for quota are read again every this many rounds.
 const REREAD_ROUNDS: u64 = 5;
 
-/// What became of a commit.
+/// Result of a commit.
 pub(super) enum Verdict {
-    /// Committed, or nothing to commit.
+    /// The plan was committed, or there was nothing to commit.
     Done,
-    /// A row had changed: read it anew and plan again.
+    /// A row had changed; the caller must read it again and make a new plan.
     Again,
-    /// The lease of this shard is lost.
+    /// The lease of this shard was lost.
     Lost(String),
 }
 
 impl Sched {
-    /// Commits `plan` and takes it into the caches.
+    /// Commits `plan` and applies it to the caches.
     pub(super) async fn commit(
         &mut self,
         cx: &Ctx<'_>,
         plan: Plan,
     ) -> Result<Verdict, PlatformError> {
         if !plan.writes() {
-            self.take_in(cx, plan, &BTreeMap::new());
+            self.apply_committed(cx, plan, &BTreeMap::new());
             return Ok(Verdict::Done);
         }
         self.seq += 1;
@@ -47,19 +47,19 @@
             Ok(Outcome::Committed { versions, .. }) => {
                 self.counts.commits += 1;
                 metrics::counter!("entry_tasks_placed").increment(plan.counts.placed);
-                self.take_in(cx, plan, &versions);
+                self.apply_committed(cx, plan, &versions);
                 Ok(Verdict::Done)
             }
             Ok(Outcome::Conflict { key, .. }) => {
                 self.counts.conflicts += 1;
                 let table = key.split('/').next().unwrap_or_default().to_string();
                 metrics::counter!("entry_commit_conflicts", "row" => table).increment(1);
-                Ok(self.conflict(cx, &key))
+                Ok(self.drop_stale(cx, &key))
             }
             Err(e) => {
-                // Whether it took effect is not known, even after asking again with the same
-                // key: read and reconcile every shard it touched before planning them again, so
-                // that no commitment counts twice and no placed task stays unstarted.
+                // The outcome is unknown, even after retries with the same key. Every shard that
+                // the plan changes is read and reconciled before it is planned again, so that no
+                // commitment counts twice and no placed task stays without a start.
                 plan.leases.keys().for_each(|s| self.unload(s));
                 plan.jobs.keys().for_each(|id| drop(self.jobs.remove(id)));
                 plan.quotas.keys().for_each(|t| drop(self.quotas.remove(t)));
@@ -106,8 +106,8 @@
         Txn { conds, ops, idem }
     }
 
-    /// Drops from the caches what a conflict at `key` showed to be stale.
-    fn conflict(&mut self, cx: &Ctx<'_>, key: &str) -> Verdict {
+    /// Drops the cached row that a conflict at `key` showed to be stale.
+    fn drop_stale(&mut self, cx: &Ctx<'_>, key: &str) -> Verdict {
         if let Some(shard) = key.strip_prefix(LEASE_PREFIX) {
             return Verdict::Lost(shard.to_string());
         }
@@ -120,8 +120,8 @@
         Verdict::Again
     }
 
-    /// Takes a committed plan into the caches and queues its orders.
-    fn take_in(&mut self, cx: &Ctx<'_>, plan: Plan, versions: &BTreeMap<String, u64>) {
+    /// Applies a committed plan to the caches and queues its orders.
+    fn apply_committed(&mut self, cx: &Ctx<'_>, plan: Plan, versions: &BTreeMap<String, u64>) {
         let version = |key: String, old: u64| versions.get(&key).copied().unwrap_or(old + 1);
         for (k, row) in plan.commits {
             self.workers.get_mut(k).commit = row;
@@ -175,47 +175,49 @@
         if self.counts.rounds.is_multiple_of(REREAD_ROUNDS) {
             plan.blocked.iter().for_each(|t| drop(self.quotas.remove(t)));
         }
-        for (k, task, fault) in plan.faults {
-            self.blame(k, &task, fault, plan.now);
+        for (k, task, cause) in plan.causes {
+            self.record_completion(k, &task, cause, plan.now);
         }
         self.counts.add(&plan.counts);
     }
 
-    /// Remembers whose fault the end of `task` on worker `k` was. A worker that fails everything
-    /// it starts is noticed by tasks failing on it whose jobs failed nowhere else; it is avoided
-    /// for a while so that they go elsewhere. A job that fails on two workers is itself to blame,
-    /// and acquits them.
-    fn blame(&mut self, k: WorkerKey, task: &str, fault: Fault, now: u64) {
-        match fault {
-            Fault::Nobody => {
+    /// Updates the failure record of worker `k` after a completion of `task`. A faulty worker shows
+    /// by failed tasks of jobs that failed on no other worker, and is avoided for [`AVOID_MS`]. A
+    /// job that fails on two workers is faulty itself, and its failures are removed from all
+    /// workers.
+    fn record_completion(&mut self, k: WorkerKey, task: &str, cause: FailureCause, now: u64) {
+        match cause {
+            FailureCause::NotFailed => {
                 let w = self.workers.get_mut(k);
                 (w.blame, w.avoid) = (BTreeSet::new(), 0);
             }
-            Fault::Worker => self.accuse(k, task, now),
-            Fault::Job => {
+            FailureCause::Worker => self.record_failure(k, task, now),
+            FailureCause::Job => {
                 if let Some((job, _)) = rows::task_parts(task) {
-                    self.acquit(&format!("{job}."));
+                    self.clear_failures(&format!("{job}."));
                 }
             }
         }
     }
 
-    fn accuse(&mut self, k: WorkerKey, task: &str, now: u64) {
+    /// Records a failure of `task` on worker `k`, which is avoided from [`AVOID_AFTER`] such
+    /// failures on, unless too many workers of its shard are avoided already.
+    fn record_failure(&mut self, k: WorkerKey, task: &str, now: u64) {
         let shard = shard_of(&self.workers.get(k).info);
-        let peers = self.shards.get(&shard).map_or(&[][..], |s| &s.workers);
-        let avoided = peers.iter().filter(|&&p| self.workers.get(p).avoid > now).count();
-        let may = avoided < peers.len().div_ceil(AVOID_ONE_IN);
+        let shard_workers = self.shards.get(&shard).map_or(&[][..], |s| &s.workers);
+        let avoided = shard_workers.iter().filter(|&&p| self.workers.get(p).avoid > now).count();
+        let allowed = avoided < shard_workers.len().div_ceil(AVOID_AT_MOST_ONE_IN);
         let w = self.workers.get_mut(k);
         w.blame.insert(task.to_string());
-        if w.blame.len() >= AVOID_AFTER && may && w.avoid <= now {
+        if w.blame.len() >= AVOID_AFTER && allowed && w.avoid <= now {
             w.avoid = now + AVOID_MS;
             log::warn!("worker {} avoided for {AVOID_MS} ms", w.info.name);
             metrics::counter!("entry_workers_avoided").increment(1);
         }
     }
 
-    /// Takes the tasks of a job (by their prefix) off every worker's blame.
-    fn acquit(&mut self, prefix: &str) {
+    /// Removes the tasks of a job, given by their common prefix, from the failures of all workers.
+    fn clear_failures(&mut self, prefix: &str) {
         for (_, w) in self.workers.iter_mut() {
             w.blame.retain(|t| !t.starts_with(prefix));
             if w.blame.len() < AVOID_AFTER {
--- a/src/entry/sched/ends.rs
+++ b/src/entry/sched/ends.rs
@@ -1,7 +1,7 @@
-//! Taking in what happened on the workers: ends, workers given up for lost, and what a shard newly
-//! taken runs.
+//! Applies the workers' reports to a plan: completions of tasks, workers considered lost, and the
+//! tasks that run in a newly acquired shard.
 
-use super::plan::{settle, Draft, Fault};
+use super::plan::{update_state, Draft, FailureCause};
 use super::{Shard, MAX_FAILS};
 use crate::entry::rows::{self, TaskState};
 use crate::kernel::clock::Millis;
@@ -9,60 +9,61 @@
 use crate::standin::tasks::{Ended, How};
 use std::collections::BTreeMap;
 
-/// Wait before a failed task is placed again, ms; doubles with each failure, so that a cause
-/// that passes has time to, and tasks that fail at once do not flood the table.
+/// Delay before a failed task is placed again, ms. It doubles with each failure, so that a
+/// temporary cause has time to pass and tasks that fail at once do not overload the table.
 const RETRY_MS: Millis = 100;
 
-/// The wait doubles at most this often.
+/// Most times that the delay doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Clock drift and delay allowed for before a silent worker's task leases count as run out:
-/// a twentieth of the lease, plus this many ms.
+/// Margin for clock drift and message delay before the task leases of an unreachable worker count
+/// as expired, ms, in addition to a twentieth of the lease.
 const LAPSE_MARGIN_MS: Millis = 1_000;
 
 impl Draft<'_> {
-    /// Takes in the ends that the workers reported.
-    pub fn take_ends(&mut self, name: &str, epoch: u64, shard: &Shard) {
+    /// Applies the completions that the workers of a shard reported.
+    pub fn apply_completions(&mut self, name: &str, epoch: u64, shard: &Shard) {
         for e in &shard.ended {
-            self.take_end(name, epoch, e);
+            self.apply_completion(name, epoch, e);
             self.plan.acked.insert(name.to_string(), e.seq);
         }
     }
 
-    fn take_end(&mut self, name: &str, epoch: u64, e: &Ended) {
+    fn apply_completion(&mut self, name: &str, epoch: u64, e: &Ended) {
         let Some(&k) = self.s.names.get(&e.worker) else { return };
         let Some((id, n)) = rows::task_parts(&e.task) else { return };
         let Some(t) = self.job(id).and_then(|j| j.tasks.get(n)) else {
             self.release(name, epoch, k, &e.task);
             return;
         };
-        // An end of an earlier start says nothing about the current one, which may run on the
-        // same worker: noticed by the attempt number, else the task would run twice.
+        // The completion of an earlier attempt says nothing about the current one, which may run
+        // on the same worker. Without the check of the attempt the task would run twice.
         if t.attempt != e.attempt || t.worker.as_deref() != Some(e.worker.as_str()) {
             return;
         }
         let placed = t.state == TaskState::Placed;
         self.release(name, epoch, k, &e.task);
-        if let Some(fault) = self.fault(id, e) {
-            self.plan.faults.push((k, e.task.clone(), fault));
+        if let Some(failure_cause) = self.failure_cause(id, e) {
+            self.plan.causes.push((k, e.task.clone(), failure_cause));
         }
         if placed {
             self.end_task(name, epoch, id, n, e.how, e.saved);
         }
     }
 
-    /// Whose fault end `e` of job `id` was; none if it says nothing about either.
-    fn fault(&self, id: &str, e: &Ended) -> Option<Fault> {
+    /// Returns the cause to record for completion `e` of a task of job `id`; none if it says
+    /// nothing about worker or job.
+    fn failure_cause(&self, id: &str, e: &Ended) -> Option<FailureCause> {
         let elsewhere = || self.job(id).is_some_and(|j| j.shun.iter().any(|w| *w != e.worker));
         match e.how {
-            How::Done => Some(Fault::Nobody),
-            How::Failed if elsewhere() => Some(Fault::Job),
-            How::Failed => Some(Fault::Worker),
+            How::Done => Some(FailureCause::NotFailed),
+            How::Failed if elsewhere() => Some(FailureCause::Job),
+            How::Failed => Some(FailureCause::Worker),
             How::Stopped | How::Lapsed => None,
         }
     }
 
-    /// Moves task `n` of job `id` on after its start ended as `how`.
+    /// Sets the next state of task `n` of job `id` after its current attempt ended as `how`.
     fn end_task(&mut self, name: &str, epoch: u64, id: &str, n: usize, how: How, saved: u8) {
         let now = self.plan.now;
         let Some(row) = self.job_mut(id) else { return };
@@ -81,28 +82,28 @@
             row.retry = now + (RETRY_MS << doublings);
             row.shun.extend(worker);
         }
-        settle(row, now);
+        update_state(row, now);
         match how {
             How::Done => self.plan.counts.finished += 1,
             How::Failed => self.plan.counts.failed += 1,
             How::Lapsed => self.plan.counts.lost += 1,
             How::Stopped => {}
         }
-        self.touched(name, epoch, id);
+        self.sync_pending(name, epoch, id);
     }
 
-    /// Gives up for lost what runs on workers that nobody reached for longer than a task lease:
-    /// by their own clock they have killed it, and every order that might still start it has
-    /// expired (see [`super::orders`]), so it may be placed anew and runs in one place.
-    pub fn give_up_lost(&mut self, name: &str, epoch: u64, shard: &Shard) {
+    /// Marks tasks as lost on workers that were unreachable for longer than a task lease. By then
+    /// the worker has killed them by its own clock, and every order that could still start them
+    /// has expired (see [`super::orders`]), so they can be placed again and run in one place only.
+    pub fn mark_lost(&mut self, name: &str, epoch: u64, shard: &Shard) {
         let hold = self.cx.hold_ms;
-        let patience = hold + hold / 20 + LAPSE_MARGIN_MS;
+        let lost_after = hold + hold / 20 + LAPSE_MARGIN_MS;
         for &k in &shard.workers {
             let w = self.s.workers.get(k);
-            if !w.cut || self.plan.now < w.heard + patience || self.commit(k).tasks.is_empty() {
+            if !w.cut || self.plan.now < w.heard + lost_after || self.commit(k).tasks.is_empty() {
                 continue;
             }
-            log::warn!("worker {} lost: silent for over {patience} ms", w.info.name);
+            log::warn!("worker {} lost: unreachable for over {lost_after} ms", w.info.name);
             let tasks: Vec<String> = self.commit(k).tasks.keys().cloned().collect();
             for task in tasks {
                 self.release(name, epoch, k, &task);
@@ -117,9 +118,10 @@
         }
     }
 
-    /// After a takeover: adopts what runs, starts what the previous holder placed and did not
-    /// start, and stops what should not run. Without this a task whose holder died between the
-    /// commit and the start would stay placed for good and never run.
+    /// Reconciles a newly acquired shard with the tasks that its workers run. Running tasks are
+    /// kept, tasks that the previous holder placed but did not start are started, and commitments
+    /// of tasks that neither run nor have a job row are released. Without it, a task whose holder
+    /// failed between the commit and the start would stay placed and never run.
     pub fn reconcile(
         &mut self,
         name: &str,
@@ -148,13 +150,13 @@
         self.plan.reconciled.insert(name.to_string());
     }
 
-    /// Orders the start of a placed task again, under this holder's epoch and the same attempt:
-    /// a worker that ran the attempt refuses it and reports its end.
+    /// Orders the start of a placed task again, under the epoch of this holder and with the same
+    /// attempt. A worker that has already run the attempt refuses it and reports its completion.
     fn restart(&mut self, name: &str, epoch: u64, id: &str, n: usize, worker: &str) {
         let Some(row) = self.job_mut(id) else { return };
         row.tasks[n].epoch = epoch;
         self.plan.counts.recovered += 1;
         self.order_start(name, epoch, id, n, worker);
-        self.touched(name, epoch, id);
+        self.sync_pending(name, epoch, id);
     }
 }
--- a/src/entry/sched/load.rs
+++ b/src/entry/sched/load.rs
@@ -1,5 +1,5 @@
-//! Reading: the workers' polls, the marks of jobs that want attention, and the rows of a shard
-//! newly taken.
+//! Reads the inputs of a round: polls of the workers, pending-job entries, job rows, and the
+//! placement rows of a newly acquired shard.
 
 use super::{Cached, Commit, Ctx, Sched};
 use crate::entry::rows::{self, JobRow};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Sched {
-    /// Polls the workers of every held shard. Returns the shards whose epoch was superseded.
+    /// Polls the workers of all held shards. Returns the shards whose epoch was superseded.
     pub(super) async fn poll(
         &mut self,
         cx: &Ctx<'_>,
@@ -31,9 +31,9 @@
         let reports = match cx.platform.poll(polls.clone()).await {
             Ok(r) => r,
             Err(e) => {
-                // The poll may have taken effect although its answer was lost: task leases may
-                // have been extended until now plus the lease period, so no worker of these
-                // shards may be given up for lost before that.
+                // The poll may have taken effect although its answer was lost. Task leases may
+                // last until now plus the lease period, so no worker of these shards may be
+                // considered lost before that time.
                 let now = cx.clock.now();
                 for name in held.keys() {
                     self.heard(name, &BTreeSet::new(), now);
@@ -61,15 +61,15 @@
         Ok(lost)
     }
 
-    /// Notes that the workers of `shard` outside `cut` were reached at `now`.
+    /// Records `now` as the last contact with the workers of `shard`, except for those in `cut`.
     fn heard(&mut self, shard: &str, cut: &BTreeSet<String>, now: u64) {
         let Some(s) = self.shards.get(shard) else { return };
         for &k in &s.workers {
             let w = self.workers.get_mut(k);
-            let was = w.cut;
+            let was_cut = w.cut;
             w.cut = cut.contains(&w.info.name);
-            if w.cut != was {
-                log::info!("worker {} reachable={}", w.info.name, was);
+            if w.cut != was_cut {
+                log::info!("worker {} reachable={}", w.info.name, was_cut);
             }
             if !w.cut || w.heard == 0 {
                 w.heard = now;
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Brings the marks of the domain up to date from the table's feed: only changes travel.
-    pub(super) async fn follow_marks(&mut self, cx: &Ctx<'_>) -> Result<(), PlatformError> {
+    /// Updates the pending-job entries of the domain from the table's feed, which returns only the
+    /// changes since the last call.
+    pub(super) async fn follow_pending(&mut self, cx: &Ctx<'_>) -> Result<(), PlatformError> {
         let prefix = rows::pend_prefix(cx.domain);
         let feed = cx.platform.feed(&prefix, self.revision).await?;
         self.revision = feed.revision;
@@ -92,7 +93,7 @@
             Some((shard.to_string(), id.to_string()))
         };
         for (shard, id) in feed.rows.keys().filter_map(|k| split(k)) {
-            // Whoever set the mark also changed the job: read it anew.
+            // The writer of the entry also changed the job row, so it must be read again.
             self.jobs.remove(&id);
             self.marks.entry(shard).or_default().entry(id).or_insert(now);
         }
@@ -104,7 +105,7 @@
         Ok(())
     }
 
-    /// Reads the placement rows of shards not yet loaded under their epoch: one scan a shard.
+    /// Reads the placement rows of the shards that are not loaded yet, with one scan per shard.
     pub(super) async fn load(
         &mut self,
         cx: &Ctx<'_>,
@@ -132,7 +133,7 @@
         Ok(())
     }
 
-    /// Reads the rows, not yet cached, of every job that this round may touch.
+    /// Reads the rows of all jobs that this round may change, unless they are cached.
     pub(super) async fn read_jobs(
         &mut self,
         cx: &Ctx<'_>,
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -1,10 +1,11 @@
 //! The scheduler of one entry instance.
 //!
-//! Each round polls the workers of the shards held (which extends task leases and brings ends),
-//! plans on cached rows ([`plan`], with [`ends`], [`serve`] and what these call), commits everything that changed in all shards in one fenced
-//! transaction ([`commit`]: the table's writes are the scarcest resource), then sends the starts
-//! and stops ([`orders`]). A shard newly taken is loaded and reconciled with what its workers
-//! say they run ([`load`]).
+//! Each round polls the workers of the shards held, which extends task leases and returns
+//! completions, and plans on cached rows ([`plan`], [`ends`], [`serve`] and the modules that they
+//! call). It commits the changes of all shards in one fenced transaction ([`commit`]), because the
+//! table's write budget is the scarcest resource, and then sends the starts and stops ([`orders`]).
+//! A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its workers
+//! report as running.
 
 mod commit;
 mod ends;
@@ -28,37 +29,38 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Failures of a task before it fails for good (services never do).
+/// Failed starts after which a task fails permanently. A service is restarted without limit.
 pub const MAX_FAILS: u32 = 3;
 
-/// Tasks that failed on a worker, of jobs that failed nowhere else, after which it is avoided.
+/// Number of tasks that must fail on a worker, of jobs that failed on no other worker, before the
+/// worker is avoided.
 pub const AVOID_AFTER: usize = 2;
 
-/// How long a failing worker is avoided, ms.
+/// Time for which a failing worker is avoided, ms.
 pub const AVOID_MS: u64 = 30_000;
 
-/// Tries of one round's commit before the round gives up until the next.
+/// Most commit attempts in one round; each conflict is followed by a new plan.
 const COMMIT_TRIES: u32 = 4;
 
-/// What is committed on one worker. Only the shard's holder changes it, under its lease, so it
-/// needs no row of its own: it is the sum of the worker's placement rows.
+/// The resources committed on one worker: the sum of its placement rows. Only the shard's holder
+/// changes them, under its lease, so the sum needs no row of its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Commit {
-    /// Sum of the tasks' declared resources.
+    /// Sum of the declared resources of all tasks.
     pub used: Resources,
-    /// Task id to its declared resources.
+    /// Declared resources by task id.
     pub tasks: BTreeMap<String, Resources>,
 }
 
 impl Commit {
-    /// Adds a task.
+    /// Adds a task; a task that is already committed stays as it is.
     pub fn add(&mut self, task: &str, r: Resources) {
         if self.tasks.insert(task.to_string(), r).is_none() {
             self.used = self.used.add(&r);
         }
     }
 
-    /// Removes a task, if it is there.
+    /// Removes a task; does nothing if it is not committed.
     pub fn remove(&mut self, task: &str) {
         if let Some(r) = self.tasks.remove(task) {
             self.used = self.used.sub(&r);
@@ -66,53 +68,54 @@
     }
 }
 
-/// A worker as the scheduler sees it: what the platform says it has, what is committed on it.
+/// The scheduler's view of a worker: its inventory entry, commitments and failure history.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkerView {
-    /// Description.
+    /// Name, rack and capacity from the platform's worker list.
     pub info: WorkerInfo,
-    /// Commitments, as last read or written.
+    /// Commitments as last read or written by this instance.
     pub commit: Commit,
-    /// Tasks that failed here, of jobs that so far failed nowhere else.
+    /// Tasks that failed here, of jobs that have failed on no other worker so far.
     pub blame: BTreeSet<String>,
-    /// Avoided until this local time.
+    /// Local time until which the worker is avoided, ms; 0 when it is not avoided.
     pub avoid: Millis,
-    /// Local time at which a poll last reached it, or may have: its task leases may run until
-    /// this plus the lease period.
+    /// Local time of the last contact, ms: a poll that reached the worker, or a poll or start that
+    /// may have reached it. Its task leases may last until this time plus the lease period.
     pub heard: Millis,
-    /// The last poll could not reach it.
+    /// Whether the last poll failed to reach the worker.
     pub cut: bool,
 }
 
 /// One shard: a rack of workers.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Shard {
-    /// Its workers.
+    /// Workers of the rack.
     pub workers: Vec<WorkerKey>,
-    /// Epoch under which the commitment rows were read; a new epoch reads them anew.
+    /// Epoch under which the placement rows were read; they are read again under a new epoch.
     pub loaded: Option<u64>,
-    /// What the workers said they ran at the takeover, until reconciled.
+    /// Tasks that the workers reported as running at the takeover, by task id with attempt and
+    /// worker; removed once reconciled.
     pub running: Option<BTreeMap<String, (u32, String)>>,
-    /// Ends committed up to this sequence number.
+    /// Sequence number up to which completions are committed.
     pub acked: u64,
-    /// Ends reported and not yet committed.
+    /// Completions reported and not yet committed.
     pub ended: Vec<Ended>,
-    /// Placed tasks whose start the workers have not yet answered, by task id.
+    /// Start orders that the workers have not yet answered, by task id.
     pub unstarted: BTreeMap<String, StartReq>,
-    /// Stops to send until the end they cause is reported, by task id.
+    /// Stop orders, sent again until the completion that they cause is reported, by task id.
     pub stopping: BTreeMap<String, StopReq>,
 }
 
-/// A row held in memory with the version it had.
+/// A cached row with the version at which it was read or written.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cached<T> {
     /// Row version; 0 for a row that does not exist yet.
     pub version: u64,
-    /// Its content.
+    /// Decoded content of the row.
     pub row: T,
 }
 
-/// What the scheduler has done, for metrics and the state dump.
+/// Counters of the scheduler since the process started, for metrics and the state dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Rounds run.
@@ -125,21 +128,21 @@
     pub placed: u64,
     /// Tasks started.
     pub started: u64,
-    /// Tasks ended well.
+    /// Tasks that finished successfully.
     pub finished: u64,
-    /// Tasks that failed a try.
+    /// Starts of tasks that ended as failed.
     pub failed: u64,
-    /// Tasks placed anew because their worker was lost or their lease lapsed.
+    /// Tasks placed again because their worker was lost or their lease expired.
     pub lost: u64,
-    /// Batch tasks stopped to make room for urgent work.
+    /// Batch tasks preempted by urgent work.
     pub preempted: u64,
     /// Jobs moved to another shard.
     pub spilled: u64,
-    /// Job rounds that waited for their team's quota.
+    /// Times that a job had to wait in a round for its team's quota.
     pub over_quota: u64,
-    /// Jobs refused as not run.
+    /// Jobs refused before any task was placed.
     pub refused: u64,
-    /// Tasks found placed but not running after a takeover, and started.
+    /// Tasks found placed but not running after a takeover, for which a start was ordered.
     pub recovered: u64,
 }
 
@@ -157,17 +160,17 @@
     }
 }
 
-/// What a round works with besides the scheduler's own state.
+/// Inputs of a round besides the state of the scheduler.
 pub struct Ctx<'a> {
-    /// The platform.
+    /// Client of the platform.
     pub platform: &'a Client,
     /// The process clock.
     pub clock: &'a Clock,
-    /// This instance's id.
+    /// Id of this instance.
     pub me: &'a str,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: &'a str,
-    /// The catalogue in force here.
+    /// Catalogue in force on this instance.
     pub cat: &'a Catalogue,
     /// Lifetime of task leases, ms.
     pub hold_ms: u64,
@@ -176,52 +179,53 @@
 /// Scheduler state of one entry instance.
 #[derive(Debug, Default, Serialize)]
 pub struct Sched {
-    /// Workers of the domain.
+    /// Workers of the failure domain.
     pub workers: Arena<WorkerKey, WorkerView>,
-    /// Worker name to key.
+    /// Worker keys by name.
     pub names: BTreeMap<String, WorkerKey>,
-    /// Shards of the domain, by name.
+    /// Shards of the failure domain, by name.
     pub shards: BTreeMap<String, Shard>,
-    /// Rows of the jobs that wait or run in held shards.
+    /// Rows of the jobs that wait or run in the shards held, by job id.
     pub jobs: BTreeMap<String, Cached<JobRow>>,
-    /// Jobs of each shard that want attention, with the local time they were first seen.
+    /// Pending-job entries: the ids of jobs to serve in each shard, with the local time at which
+    /// each was first seen, ms.
     pub marks: BTreeMap<String, BTreeMap<String, Millis>>,
-    /// Revision up to which `marks` is known.
+    /// Revision of the table up to which `marks` is current.
     pub revision: u64,
-    /// Quota rows of the teams with work here.
+    /// Quota rows of the teams that have work in the shards held, by team.
     pub quotas: BTreeMap<String, Cached<QuotaRow>>,
-    /// Lagging room per shard of the domain.
+    /// Free capacity of each shard of the domain, as the platform reports it with a delay.
     pub rooms: BTreeMap<String, RackRoom>,
-    /// Platform time of the last poll.
+    /// Platform time of the last poll, ms.
     pub polled: Millis,
     /// Counters.
     pub counts: Counts,
-    /// Number of the next round's idempotency key.
+    /// Sequence number in the idempotency key of the last commit.
     seq: u64,
-    /// Makes this process's idempotency keys its own.
+    /// Random number that keeps the idempotency keys of this process unique.
     nonce: u64,
 }
 
-/// How busy a scheduler is, which decides how soon its next round comes.
+/// Load of a scheduler, from which the interval to its next round follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Pace {
-    /// Nothing waits, runs or is under way.
+pub enum Activity {
+    /// No job waits or runs, and no order or completion is outstanding.
     Idle,
-    /// Tasks run; their ends are all there is to notice.
+    /// Tasks run; only their completions are expected.
     Running,
-    /// Jobs wait, or orders and ends are under way.
+    /// Jobs wait, or orders or completions are outstanding.
     Busy,
 }
 
-/// What a round found out about leases.
+/// Result of a round.
 #[derive(Debug, Default)]
 pub struct RoundResult {
-    /// Shards whose lease turned out to be lost.
+    /// Shards whose lease was found to be lost during the round.
     pub lost: Vec<String>,
 }
 
 impl Sched {
-    /// The scheduler for `domain`'s workers among `all`.
+    /// Creates a scheduler for the workers in `all` that belong to `domain`.
     pub fn new(domain: &str, all: &[WorkerInfo]) -> Self {
         let mut s = Self { nonce: rand::random(), ..Self::default() };
         for info in all.iter().filter(|w| w.domain == domain) {
@@ -240,7 +244,7 @@
         s
     }
 
-    /// Total capacity of a shard and the largest single worker in it.
+    /// Returns the total capacity of a shard and the capacity of its largest worker.
     pub fn capacity(&self, shard: &str) -> Option<(Resources, Resources)> {
         let s = self.shards.get(shard)?;
         let caps = s.workers.iter().map(|&k| self.workers.get(k).info.cap);
@@ -249,11 +253,11 @@
         Some((total, largest))
     }
 
-    /// Forgets what was read of a shard, so that the next round reads and reconciles it anew.
+    /// Drops the cached state of a shard, so that the next round reads and reconciles it again.
     ///
-    /// Its jobs' rows go too: another holder may have changed them. An end judged by a stale row
-    /// looks like one of another attempt, and acknowledging it would lose it for good: the task
-    /// would stay placed and never end.
+    /// The rows of its jobs are dropped too, because another holder may have changed them. With a
+    /// stale row, a completion of the current attempt looks like one of another attempt; it would
+    /// be acknowledged without effect, and the task would stay placed and never end.
     pub fn unload(&mut self, shard: &str) {
         self.jobs.retain(|_, j| j.row.shard != shard);
         if let Some(s) = self.shards.get_mut(shard) {
@@ -261,9 +265,9 @@
         }
     }
 
-    /// One round over the shards in `held` (shard → epoch). Only those in `usable` (renewed
-    /// recently enough by the local clock) are planned; all are polled, so that running tasks
-    /// keep their leases while the table cannot be reached.
+    /// Runs one round over the shards in `held` (shard → epoch). Only the shards in `usable`, whose
+    /// leases were renewed recently enough by the local clock, are planned. All shards are polled,
+    /// so that running tasks keep their leases while the table cannot be reached.
     pub async fn round(
         &mut self,
         cx: &Ctx<'_>,
@@ -271,13 +275,13 @@
         usable: &BTreeSet<String>,
     ) -> Result<RoundResult, PlatformError> {
         self.counts.rounds += 1;
-        let gone: Vec<String> = self
+        let superseded: Vec<String> = self
             .shards
             .iter()
             .filter(|(n, s)| s.loaded.is_some() && s.loaded != held.get(*n).copied())
             .map(|(n, _)| n.clone())
             .collect();
-        gone.iter().for_each(|n| self.unload(n));
+        superseded.iter().for_each(|n| self.unload(n));
         let mut result = RoundResult { lost: self.poll(cx, held).await? };
         let live: BTreeMap<String, u64> = held
             .iter()
@@ -287,7 +291,7 @@
         if live.is_empty() {
             return Ok(result);
         }
-        self.follow_marks(cx).await?;
+        self.follow_pending(cx).await?;
         self.load(cx, &live).await?;
         for _ in 0..COMMIT_TRIES {
             self.read_jobs(cx, &live).await?;
@@ -304,28 +308,28 @@
         }
         let lost = self.send_orders(cx).await?;
         result.lost.extend(lost);
-        self.forget(held);
+        self.prune_jobs(held);
         Ok(result)
     }
 
-    /// How busy the shards loaded are.
-    pub fn pace(&self) -> Pace {
-        let pace = |(name, s): (&String, &Shard)| {
+    /// Returns the highest activity among the loaded shards.
+    pub fn activity(&self) -> Activity {
+        let of_shard = |(name, s): (&String, &Shard)| {
             let waits = self.marks.get(name).is_some_and(|m| !m.is_empty());
             if waits || !(s.unstarted.is_empty() && s.stopping.is_empty() && s.ended.is_empty()) {
-                Pace::Busy
+                Activity::Busy
             } else if s.workers.iter().any(|&k| !self.workers.get(k).commit.tasks.is_empty()) {
-                Pace::Running
+                Activity::Running
             } else {
-                Pace::Idle
+                Activity::Idle
             }
         };
         let loaded = self.shards.iter().filter(|(_, s)| s.loaded.is_some());
-        loaded.map(pace).max().unwrap_or(Pace::Idle)
+        loaded.map(of_shard).max().unwrap_or(Activity::Idle)
     }
 
-    /// Drops rows of jobs that no longer wait or run in a held shard.
-    fn forget(&mut self, held: &BTreeMap<String, u64>) {
+    /// Drops the cached rows of jobs that no longer wait or run in a held shard.
+    fn prune_jobs(&mut self, held: &BTreeMap<String, u64>) {
         let committed: BTreeSet<&str> = self
             .workers
             .iter()
--- a/src/entry/sched/orders.rs
+++ b/src/entry/sched/orders.rs
@@ -1,5 +1,5 @@
-//! Sending what was committed: starts under the shard's epoch, and stops, each repeated until
-//! the workers have answered.
+//! Sends the orders of committed plans to the workers: starts under the epoch of the shard, and
+//! stops. Each order is repeated until the workers have answered it.
 
 use super::{Ctx, Sched};
 use crate::standin::client::PlatformError;
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 impl Sched {
-    /// Sends stops, then starts. Returns the shards whose epoch the workers called stale.
+    /// Sends stops, then starts. Returns the shards whose epoch the workers refused as stale.
     pub(super) async fn send_orders(&mut self, cx: &Ctx<'_>) -> Result<Vec<String>, PlatformError> {
         self.send_stops(cx).await?;
         self.send_starts(cx).await
@@ -20,14 +20,14 @@
         if stops.is_empty() {
             return Ok(());
         }
-        // Kept until the end is reported: a stop whose answer is lost is simply sent again.
+        // Stops stay queued until the completion is reported, so a lost answer needs no handling.
         cx.platform.stop(stops).await.map(drop)
     }
 
     async fn send_starts(&mut self, cx: &Ctx<'_>) -> Result<Vec<String>, PlatformError> {
-        // An order is good for half a task lease from the poll that last reached its worker, and
-        // none is sent to a worker that the poll did not reach: so the last order has expired
-        // before the worker is given up for lost, and cannot start there what is placed anew.
+        // An order is valid for half a task lease from the last poll, and none is sent to a worker
+        // that this poll did not reach. The last order has therefore expired before the worker is
+        // considered lost, and cannot start a task that was placed again elsewhere.
         let by = self.polled + cx.hold_ms / 2;
         let reached =
             |r: &&StartReq| self.names.get(&r.worker).is_some_and(|&k| !self.workers.get(k).cut);
@@ -40,7 +40,7 @@
         let sent = cx.platform.start(batch.clone()).await;
         let now = cx.clock.now();
         if sent.is_err() {
-            // The starts may have taken effect, and with them the task leases they carry.
+            // The starts may have taken effect, and with them the task leases that they carry.
             for req in &batch {
                 if let Some(&k) = self.names.get(&req.worker) {
                     self.workers.get_mut(k).heard = now;
@@ -49,21 +49,22 @@
         }
         let mut lost = BTreeSet::new();
         for (req, answer) in batch.iter().zip(sent?) {
-            self.take_answer(req, &answer, &mut lost);
+            self.handle_answer(req, &answer, &mut lost);
         }
         Ok(lost.into_iter().collect())
     }
 
-    fn take_answer(&mut self, req: &StartReq, a: &StartResult, lost: &mut BTreeSet<String>) {
+    fn handle_answer(&mut self, req: &StartReq, a: &StartResult, lost: &mut BTreeSet<String>) {
         let shard = req.lease.strip_prefix(LEASE_PREFIX).unwrap_or(&req.lease).to_string();
         match a.refused {
             None | Some(StartRefusal::AlreadyRunning) => self.counts.started += 1,
-            // Its end will be reported.
+            // The workers will report the completion.
             Some(StartRefusal::AlreadyEnded) => {}
-            // Cancelled since: the mark set by the cancellation brings the rest.
+            // Cancelled in the meantime; the pending-job entry set by the cancellation leads to
+            // the remaining steps.
             Some(StartRefusal::NotPlaced | StartRefusal::UnknownWorker) => {}
             Some(StartRefusal::StaleEpoch) => drop(lost.insert(shard.clone())),
-            // Sent again until the worker is back, or given up for lost.
+            // Sent again until the worker is reachable or considered lost.
             Some(StartRefusal::Unreachable | StartRefusal::Late) => return,
         }
         if let Some(s) = self.shards.get_mut(&shard) {
--- a/src/entry/sched/plan.rs
+++ b/src/entry/sched/plan.rs
@@ -1,6 +1,6 @@
-//! Planning one round, without I/O: from the cached rows and the workers' reports to the rows to
-//! write, the starts and the stops. Nothing of the scheduler's state changes until the plan is
-//! committed, so a plan that meets a conflict is simply dropped.
+//! Plans one round without I/O: computes the rows to write, the starts and the stops from the
+//! cached rows and the workers' reports. The state of the scheduler does not change until the plan
+//! is committed, so a plan that meets a conflict is dropped.
 
 use super::{Commit, Counts, Ctx, Sched};
 use crate::entry::rows::{JobRow, JobState, QuotaRow, TaskState};
@@ -13,58 +13,59 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Idle quota parts are given back every this many rounds: rarely enough that a team with a
-/// steady trickle of short tasks keeps its part, which saves a write and a likely conflict a job.
-const GIVE_BACK_ROUNDS: u64 = 48;
+/// Unused quota grants are released every this many rounds. The interval is long enough that a team
+/// with a low, steady rate of short tasks keeps its grant, which saves a write and a likely
+/// conflict for each job.
+const GRANT_RELEASE_ROUNDS: u64 = 48;
 
-/// Whose fault an end was.
+/// Cause of a completion, as far as the failure record of the worker is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Nobody's: the task did its work.
-    Nobody,
-    /// The worker's, as far as is known: the job failed nowhere else.
+pub enum FailureCause {
+    /// The task finished successfully.
+    NotFailed,
+    /// The worker is assumed to be faulty: the job has failed on no other worker.
     Worker,
-    /// The job's: it failed on another worker too.
+    /// The job is faulty: it has failed on another worker too.
     Job,
 }
 
-/// What one round wants to write and order.
+/// Rows to write and orders to send for one round.
 #[derive(Debug, Default)]
 pub struct Plan {
-    /// Shards it touches, with the epoch that fences the commit.
+    /// Shards that the plan changes, with the epoch that fences the commit.
     pub leases: BTreeMap<String, u64>,
-    /// What is committed then on the workers it touches.
+    /// New commitments of the workers that the plan changes.
     pub commits: BTreeMap<WorkerKey, Commit>,
-    /// New job rows.
+    /// New job rows, by job id.
     pub jobs: BTreeMap<String, JobRow>,
     /// New quota rows, by team.
     pub quotas: BTreeMap<String, QuotaRow>,
-    /// Placement rows by (shard, task): written when some, removed when none.
+    /// Placement rows by (shard, task): written if some, deleted if none.
     pub places: BTreeMap<(String, String), Option<PlaceRow>>,
-    /// Marks to set (true) or remove, by (shard, job).
+    /// Pending-job entries to set (true) or remove (false), by (shard, job).
     pub marks: BTreeMap<(String, String), bool>,
     /// Jobs that ended in this round, by (shard, job).
     pub done: BTreeSet<(String, String)>,
-    /// Starts to send once committed, with their shard.
+    /// Starts to send after the commit, with their shard.
     pub starts: Vec<(String, StartReq)>,
-    /// Stops to send, with their shard; they need no commit.
+    /// Stops to send, with their shard. They need no commit.
     pub stops: Vec<(String, StopReq)>,
-    /// Ends taken in, by shard.
+    /// Highest sequence number of the completions applied, by shard.
     pub acked: BTreeMap<String, u64>,
-    /// Shards reconciled with what their workers run.
+    /// Shards reconciled with the tasks that their workers run.
     pub reconciled: BTreeSet<String>,
-    /// Ends on workers, by task, and whose fault they were.
-    pub faults: Vec<(WorkerKey, String, Fault)>,
-    /// Teams whose jobs waited for quota: their rows are read anew.
+    /// Completions to add to the failure records: worker, task and cause.
+    pub causes: Vec<(WorkerKey, String, FailureCause)>,
+    /// Teams whose jobs wait for quota; their quota rows are read again.
     pub blocked: BTreeSet<String>,
-    /// When the round was planned, local ms.
+    /// Local time at which the round was planned, ms.
     pub now: Millis,
-    /// What it counts.
+    /// Increments of the scheduler's counters.
     pub counts: Counts,
 }
 
 impl Plan {
-    /// Whether there is anything to write.
+    /// Returns whether the plan has rows to write.
     pub fn writes(&self) -> bool {
         !self.places.is_empty()
             || !self.jobs.is_empty()
@@ -73,13 +74,13 @@
     }
 }
 
-/// A plan in the making over the scheduler's unchanged state.
+/// A plan under construction, on top of the unchanged state of the scheduler.
 pub(super) struct Draft<'a> {
     pub s: &'a Sched,
     pub cx: &'a Ctx<'a>,
     pub plan: Plan,
-    /// What teams hold in shards, by (shard, team), until a commitment changes: a night's
-    /// thousands of waiting jobs ask for the same few sums.
+    /// Cached resources of teams, by (shard, team), cleared when a commitment changes. Thousands of
+    /// waiting jobs need the same few sums.
     pub used: RefCell<BTreeMap<(String, String), Resources>>,
 }
 
@@ -94,30 +95,30 @@
             if shard.loaded != Some(epoch) {
                 continue;
             }
-            d.take_ends(name, epoch, shard);
-            d.give_up_lost(name, epoch, shard);
+            d.apply_completions(name, epoch, shard);
+            d.mark_lost(name, epoch, shard);
             if let Some(running) = &shard.running {
                 d.reconcile(name, epoch, shard, running);
             }
-            // Before the catalogue is known here nothing can be judged by it.
+            // Jobs are served only once this instance has a catalogue.
             if cx.cat.version > 0 {
-                d.serve_marks(name, epoch, shard);
+                d.serve_jobs(name, epoch, shard);
             }
         }
-        if self.counts.rounds.is_multiple_of(GIVE_BACK_ROUNDS) {
-            d.give_back(live);
+        if self.counts.rounds.is_multiple_of(GRANT_RELEASE_ROUNDS) {
+            d.release_grants(live);
         }
         d.plan
     }
 }
 
 impl Draft<'_> {
-    /// A job as the plan has it.
+    /// Returns the row of a job, with the changes of the plan.
     pub fn job(&self, id: &str) -> Option<&JobRow> {
         self.plan.jobs.get(id).or_else(|| self.s.jobs.get(id).map(|c| &c.row))
     }
 
-    /// A job to change.
+    /// Returns the row of a job for changes within the plan.
     pub fn job_mut(&mut self, id: &str) -> Option<&mut JobRow> {
         if !self.plan.jobs.contains_key(id) {
             let row = self.s.jobs.get(id)?.row.clone();
@@ -126,18 +127,19 @@
         self.plan.jobs.get_mut(id)
     }
 
-    /// What is committed on a worker as the plan has it.
+    /// Returns the commitments of a worker, with the changes of the plan.
     pub fn commit(&self, k: WorkerKey) -> &Commit {
         self.plan.commits.get(&k).unwrap_or(&self.s.workers.get(k).commit)
     }
 
+    /// Returns the commitments of a worker for changes within the plan.
     pub fn commit_mut(&mut self, k: WorkerKey) -> &mut Commit {
         self.used.get_mut().clear();
         let s = self.s;
         self.plan.commits.entry(k).or_insert_with(|| s.workers.get(k).commit.clone())
     }
 
-    /// Releases a task's commitment and placement on `k`.
+    /// Releases the commitment and the placement row of a task on worker `k`.
     pub fn release(&mut self, shard: &str, epoch: u64, k: WorkerKey, task: &str) {
         if self.commit(k).tasks.contains_key(task) {
             self.commit_mut(k).remove(task);
@@ -146,8 +148,9 @@
         }
     }
 
-    /// Keeps a job's mark and the fence in step with a change of its row.
-    pub fn touched(&mut self, name: &str, epoch: u64, id: &str) {
+    /// Adds the fence of the shard, and updates the pending-job entry of a job after a change of
+    /// its row.
+    pub fn sync_pending(&mut self, name: &str, epoch: u64, id: &str) {
         self.plan.leases.insert(name.to_string(), epoch);
         let Some(row) = self.job(id) else { return };
         let (waits, ended) = (row.waiting() && !row.ended(), row.ended());
@@ -158,12 +161,13 @@
             (true, false) => drop(self.plan.marks.insert(key.clone(), false)),
             _ => drop(self.plan.marks.remove(&key)),
         }
-        let was = self.s.jobs.get(id).is_some_and(|c| c.row.ended());
-        if ended && !was {
+        let ended_before = self.s.jobs.get(id).is_some_and(|c| c.row.ended());
+        if ended && !ended_before {
             self.plan.done.insert(key);
         }
     }
 
+    /// Adds the placement row and the start order of task `n` of job `id`.
     pub fn order_start(&mut self, name: &str, epoch: u64, id: &str, n: usize, worker: &str) {
         let hold_ms = self.cx.hold_ms;
         let Some(row) = self.job(id) else { return };
@@ -186,7 +190,7 @@
         self.plan.starts.push((name.to_string(), req));
     }
 
-    /// Rewrites a job's shard; see [`super::spill`].
+    /// Moves a job from shard `from` to shard `to`; see [`super::spill`].
     pub fn move_job(&mut self, from: &str, epoch: u64, id: &str, to: &str) {
         let Some(row) = self.job_mut(id) else { return };
         row.shard = to.to_string();
@@ -198,8 +202,8 @@
     }
 }
 
-/// Sets a job's state from its tasks after a round changed them.
-pub(super) fn settle(row: &mut JobRow, now: Millis) {
+/// Derives the state of a job from the states of its tasks.
+pub(super) fn update_state(row: &mut JobRow, now: Millis) {
     if matches!(row.state, JobState::Refused { .. } | JobState::Cancelled) {
         return;
     }
--- a/src/entry/sched/preempt.rs
+++ b/src/entry/sched/preempt.rs
@@ -1,6 +1,6 @@
-//! Making room for urgent work: stops batch tasks, after a checkpoint, on the worker where the
-//! least work has to make way. The room is used only once the stops are reported, so a worker
-//! is never oversold meanwhile.
+//! Preemption of batch tasks by urgent work. Batch tasks are stopped after a checkpoint, on the
+//! worker where the fewest processors must be freed. The capacity is used only after the
+//! completions of the stopped tasks are reported, so no worker is overcommitted in the meantime.
 
 use super::plan::Draft;
 use super::Shard;
@@ -10,31 +10,33 @@
 use crate::standin::api::StopReq;
 use std::collections::BTreeSet;
 
-/// Victims on one worker: the stops to send and the room they and earlier stops give.
+/// Victims on one worker: the stops to send, and the sum of the processors that they free.
 struct Victims {
     cost: u64,
     stops: Vec<StopReq>,
 }
 
 impl Draft<'_> {
-    /// Orders stops so that `count` urgent tasks of `demand` find room in `shard`.
+    /// Orders stops until `count` urgent tasks of `demand` each fit on a worker of `shard`, as far
+    /// as possible.
     pub(super) fn preempt(&mut self, name: &str, shard: &Shard, demand: &Resources, count: usize) {
-        let mut taken: BTreeSet<WorkerKey> = BTreeSet::new();
+        let mut chosen: BTreeSet<WorkerKey> = BTreeSet::new();
         for _ in 0..count {
             let best = shard
                 .workers
                 .iter()
-                .filter(|k| !taken.contains(k))
+                .filter(|k| !chosen.contains(k))
                 .filter_map(|&k| Some((k, self.victims(name, shard, demand, k)?)))
                 .min_by_key(|(k, v)| (v.cost, *k));
             let Some((k, v)) = best else { return };
-            taken.insert(k);
+            chosen.insert(k);
             self.plan.counts.preempted += v.stops.len() as u64;
             self.plan.stops.extend(v.stops.into_iter().map(|s| (name.to_string(), s)));
         }
     }
 
-    /// The batch tasks that must stop on `k` for `demand` to fit; none if even all would not do.
+    /// Returns the batch tasks to stop on worker `k` so that `demand` fits; none if it would not
+    /// fit after all of them.
     fn victims(
         &self,
         name: &str,
@@ -48,33 +50,33 @@
         }
         let commit = self.commit(k);
         let mut free = w.info.cap.sub(&commit.used);
-        let going = |task: &str| {
+        let stops_already = |task: &str| {
             shard.stopping.contains_key(task)
                 || self.plan.stops.iter().any(|(s, r)| s == name && r.task == *task)
         };
-        let leaving = commit.tasks.iter().filter(|(t, _)| going(t));
-        free = leaving.fold(free, |sum, (_, r)| sum.add(r));
+        let stopping_tasks = commit.tasks.iter().filter(|(t, _)| stops_already(t));
+        free = stopping_tasks.fold(free, |sum, (_, r)| sum.add(r));
         let mut batch: Vec<(&String, &Resources, StopReq)> = commit
             .tasks
             .iter()
-            .filter(|(t, _)| !going(t))
+            .filter(|(t, _)| !stops_already(t))
             .filter_map(|(t, r)| Some((t, r, self.batch_stop(t, &w.info.name)?)))
             .collect();
-        // Largest first: fewer tasks have to make way.
+        // Largest first, so that fewer tasks are preempted.
         batch.sort_by_key(|(t, r, _)| (std::cmp::Reverse(r.cpu), *t));
-        let mut out = Victims { cost: 0, stops: Vec::new() };
+        let mut victims_found = Victims { cost: 0, stops: Vec::new() };
         for (_, r, stop) in batch {
             if demand.fits(&free) {
                 break;
             }
             free = free.add(r);
-            out.cost += r.cpu;
-            out.stops.push(stop);
+            victims_found.cost += r.cpu;
+            victims_found.stops.push(stop);
         }
-        demand.fits(&free).then_some(out)
+        demand.fits(&free).then_some(victims_found)
     }
 
-    /// The order that stops `task`, if it is a batch task that may make way.
+    /// Returns the order that stops `task` if it is a batch task.
     fn batch_stop(&self, task: &str, worker: &str) -> Option<StopReq> {
         let (id, n) = rows::task_parts(task)?;
         let row = self.job(id).filter(|j| j.class == Class::Batch)?;
--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -1,10 +1,10 @@
-//! Team quotas across shards without a counter that every placement writes: a team's quota in
-//! the failure domain is granted to shards in parts, recorded in one row; a holder places
-//! against its own part and writes the row only to take more or to give back.
+//! Team quotas across shards, without a counter that every placement writes. The quota of a team
+//! in the failure domain is granted to shards in portions, recorded in one row. The holder of a
+//! shard places tasks within its own grant, and writes the row only to enlarge or release it.
 //!
-//! What goes wrong without it: two holders that each check the team's sum as they last read it
-//! both place, and the team exceeds its quota. With grants the sum of the parts never exceeds
-//! the quota, because taking one is a conditional write of the row.
+//! Without it, two holders that each check the team's sum as they last read it could both place
+//! tasks, and the team would exceed its quota. The sum of the grants never exceeds the quota,
+//! because a grant is a conditional write of the row.
 
 use super::plan::Draft;
 use super::{Cached, Ctx, Sched};
@@ -13,36 +13,40 @@
 use crate::standin::client::PlatformError;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A shard takes this part of the quota more than it needs, divided by the number of shards:
-/// large enough that most placements need no grant, small enough that little lies idle.
-const SPARE_PARTS: u64 = 8;
+/// Divisor for the spare capacity of a grant: the quota divided by this and by the number of
+/// shards. The spare is large enough that most placements need no new grant, and small enough that
+/// little of the quota is unused.
+const SPARE_DIVISOR: u64 = 8;
 
 impl Resources {
-    /// How often `demand` fits into `self`.
-    fn holds(&self, demand: &Self) -> u64 {
-        let part = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
-        part(self.cpu, demand.cpu).min(part(self.mem, demand.mem)).min(part(self.acc, demand.acc))
+    /// Returns how many times `demand` fits into `self`.
+    fn times_fitting(&self, demand: &Self) -> u64 {
+        let times = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
+        times(self.cpu, demand.cpu)
+            .min(times(self.mem, demand.mem))
+            .min(times(self.acc, demand.acc))
     }
 
-    /// `self` divided by `n`.
-    fn part(&self, n: u64) -> Self {
+    /// Returns `self` divided by `n`; 0 counts as 1.
+    fn divided_by(&self, n: u64) -> Self {
         let n = n.max(1);
         Self { cpu: self.cpu / n, mem: self.mem / n, acc: self.acc / n }
     }
 
-    /// The smaller of each.
-    fn least(&self, o: &Self) -> Self {
+    /// Returns the minimum of each resource.
+    fn min_each(&self, o: &Self) -> Self {
         Self { cpu: self.cpu.min(o.cpu), mem: self.mem.min(o.mem), acc: self.acc.min(o.acc) }
     }
 
-    /// The larger of each.
-    fn most(&self, o: &Self) -> Self {
+    /// Returns the maximum of each resource.
+    fn max_each(&self, o: &Self) -> Self {
         Self { cpu: self.cpu.max(o.cpu), mem: self.mem.max(o.mem), acc: self.acc.max(o.acc) }
     }
 }
 
 impl Sched {
-    /// Reads the quota rows, not yet cached, of teams with work waiting in `live` shards.
+    /// Reads the quota rows of the teams with jobs waiting in the shards of `live`, unless they are
+    /// cached.
     pub(super) async fn read_quotas(
         &mut self,
         cx: &Ctx<'_>,
@@ -61,9 +65,9 @@
             return Ok(());
         }
         let keys = teams.iter().map(|t| rows::quota_key(cx.domain, t)).collect();
-        let got = cx.platform.get(keys).await?;
+        let read = cx.platform.get(keys).await?;
         for team in teams {
-            let found = got.get(&rows::quota_key(cx.domain, &team));
+            let found = read.get(&rows::quota_key(cx.domain, &team));
             let row = found.and_then(|r| rows::decode::<QuotaRow>(&r.value)).unwrap_or_default();
             self.quotas.insert(team, Cached { version: found.map_or(0, |r| r.version), row });
         }
@@ -72,7 +76,7 @@
 }
 
 impl Draft<'_> {
-    /// What `team`'s tasks hold in `shard`, as the plan has it.
+    /// Returns the resources committed to tasks of `team` in `shard`, with the changes of the plan.
     fn team_used(&self, shard: &str, team: &str) -> Resources {
         let key = (shard.to_string(), team.to_string());
         if let Some(used) = self.used.borrow().get(&key) {
@@ -83,6 +87,7 @@
         used
     }
 
+    /// Computes the value of [`Self::team_used`] without the cache.
     fn sum_used(&self, shard: &str, team: &str) -> Resources {
         let Some(s) = self.s.shards.get(shard) else { return Resources::ZERO };
         let tasks = s.workers.iter().flat_map(|&k| self.commit(k).tasks.iter());
@@ -93,6 +98,7 @@
         tasks.filter(|(t, _)| of_team(t)).fold(Resources::ZERO, |sum, (_, r)| sum.add(r))
     }
 
+    /// Returns the quota row of `team`, with the changes of the plan; empty if there is none.
     fn quota_row(&self, team: &str) -> QuotaRow {
         let planned = self.plan.quotas.get(team);
         planned
@@ -100,8 +106,9 @@
             .unwrap_or_else(|| self.s.quotas.get(team).map(|c| c.row.clone()).unwrap_or_default())
     }
 
-    /// How many more tasks of `demand`, at most `count`, `team` may have in `shard`.
-    pub(super) fn quota_room(
+    /// Returns how many more tasks of `demand`, at most `count`, the quota allows `team` in
+    /// `shard`.
+    pub(super) fn quota_headroom(
         &self,
         shard: &str,
         team: &str,
@@ -110,31 +117,31 @@
         count: u64,
     ) -> u64 {
         let used = self.team_used(shard, team);
-        let room = quota.sub(&self.quota_row(team).others(shard)).sub(&used);
-        room.holds(demand).min(count)
+        let free = quota.sub(&self.quota_row(team).others(shard)).sub(&used);
+        free.times_fitting(demand).min(count)
     }
 
-    /// Enlarges `shard`'s part of `team`'s quota, if it must, to hold `more` on top of what is
-    /// used. The caller has asked [`Self::quota_room`].
-    pub(super) fn grant(&mut self, shard: &str, team: &str, quota: &Resources, more: &Resources) {
-        let need = self.team_used(shard, team).add(more);
+    /// Enlarges the grant of `shard` from the quota of `team`, if it is too small for `added` on top
+    /// of the resources in use. The caller has checked [`Self::quota_headroom`].
+    pub(super) fn grant(&mut self, shard: &str, team: &str, quota: &Resources, added: &Resources) {
+        let need = self.team_used(shard, team).add(added);
         let mut row = self.quota_row(team);
         let have = row.granted.get(shard).copied().unwrap_or_default();
         if need.fits(&have) {
             return;
         }
-        let spare = quota.part(SPARE_PARTS * self.s.shards.len() as u64);
+        let spare = quota.divided_by(SPARE_DIVISOR * self.s.shards.len() as u64);
         let limit = quota.sub(&row.others(shard));
-        let part = need.add(&spare).least(&limit).most(&need);
-        row.granted.insert(shard.to_string(), part);
+        let grant = need.add(&spare).min_each(&limit).max_each(&need);
+        row.granted.insert(shard.to_string(), grant);
         self.plan.quotas.insert(team.to_string(), row);
     }
 }
 
 impl Draft<'_> {
-    /// Gives back the quota parts that shards in `live` were granted and no longer use. A part
-    /// in use keeps its spare; a team with nothing in a shard gives the whole part back.
-    pub(super) fn give_back(&mut self, live: &BTreeMap<String, u64>) {
+    /// Releases the grants of the shards in `live` whose team has no task and no waiting job there.
+    /// A grant in use is kept as it is, with its spare.
+    pub(super) fn release_grants(&mut self, live: &BTreeMap<String, u64>) {
         for (team, cached) in &self.s.quotas {
             if self.plan.quotas.contains_key(team) {
                 continue;
@@ -143,7 +150,7 @@
                 .row
                 .granted
                 .keys()
-                .filter(|shard| !self.team_busy(shard, team))
+                .filter(|shard| !self.has_work(shard, team))
                 .filter_map(|shard| Some((shard.clone(), *live.get(shard)?)))
                 .collect();
             if idle.is_empty() {
@@ -158,8 +165,8 @@
         }
     }
 
-    /// Whether `team` has tasks committed or waiting in `shard`.
-    fn team_busy(&self, shard: &str, team: &str) -> bool {
+    /// Returns whether `team` has committed tasks or waiting jobs in `shard`.
+    fn has_work(&self, shard: &str, team: &str) -> bool {
         let of_team = |id: &str| self.job(id).is_some_and(|j| j.team == team);
         let waiting = self.s.marks.get(shard).is_some_and(|m| m.keys().any(|id| of_team(id)));
         waiting || self.team_used(shard, team) != Resources::ZERO
--- a/src/entry/sched/serve.rs
+++ b/src/entry/sched/serve.rs
@@ -1,7 +1,7 @@
-//! Serving the jobs that want attention in a shard: carrying out cancellations, refusing, placing,
-//! moving, and making room.
+//! Serves the jobs of a shard that have a pending-job entry: cancels, refuses or places them, moves
+//! them to another shard, or preempts batch tasks for them.
 
-use super::plan::{settle, Draft};
+use super::plan::{update_state, Draft};
 use super::Shard;
 use crate::entry::rows::{self, JobRow, JobState, TaskState};
 use crate::kernel::arena::WorkerKey;
@@ -10,15 +10,17 @@
 use crate::kernel::res::Class;
 use crate::standin::api::StopReq;
 
-/// Most tasks placed in one round, so that its transaction stays small.
-const MAX_STARTS: u64 = 200;
+/// Number of tasks placed in a round after which no further job is served, so that the
+/// transaction stays small.
+const MAX_PLACED_PER_ROUND: u64 = 200;
 
-/// A waiting gang this old keeps batch work off its shard, so that the shard drains for it, ms.
+/// Age from which a waiting gang keeps batch work off its shard, so that capacity becomes free for
+/// it, ms.
 const GANG_DRAIN_MS: Millis = 5_000;
 
 impl Draft<'_> {
-    /// Serves the jobs that want attention, most pressing first.
-    pub fn serve_marks(&mut self, name: &str, epoch: u64, shard: &Shard) {
+    /// Serves the jobs with a pending-job entry by class, deadline and submission time.
+    pub fn serve_jobs(&mut self, name: &str, epoch: u64, shard: &Shard) {
         let Some(marks) = self.s.marks.get(name) else { return };
         let mut order: Vec<(usize, Millis, Millis, &String)> = Vec::new();
         for id in marks.keys() {
@@ -35,51 +37,52 @@
             order.push((rank, due, row.submitted, id));
         }
         order.sort();
-        let mut drains = false;
+        let mut gang_drains = false;
         for (_, _, _, id) in order {
-            if self.plan.counts.placed >= MAX_STARTS {
+            if self.plan.counts.placed >= MAX_PLACED_PER_ROUND {
                 return;
             }
             let Some(row) = self.job(id) else { continue };
             let (class, gang_waits) = (row.class, self.gang_waits(row));
             match &row.state {
-                JobState::Cancelled => self.carry_out_cancel(name, epoch, id),
-                JobState::Pending if class == Class::Batch && drains => {}
+                JobState::Cancelled => self.finish_cancellation(name, epoch, id),
+                JobState::Pending if class == Class::Batch && gang_drains => {}
                 JobState::Pending => {
                     self.serve_pending(name, epoch, shard, id);
-                    drains |= gang_waits && self.job(id).is_some_and(JobRow::waiting);
+                    gang_drains |= gang_waits && self.job(id).is_some_and(JobRow::waiting);
                 }
                 JobState::Running | JobState::Finished { .. } | JobState::Refused { .. } => {
-                    self.touched(name, epoch, id);
+                    self.sync_pending(name, epoch, id);
                 }
             }
         }
     }
 
+    /// Returns whether `row` is a gang that has waited for at least [`GANG_DRAIN_MS`].
     fn gang_waits(&self, row: &JobRow) -> bool {
         row.class == Class::Gang
             && row.state == JobState::Pending
             && self.plan.now >= row.submitted + GANG_DRAIN_MS
     }
 
-    /// Stops what still runs of a cancelled job; once nothing is committed the mark goes.
-    fn carry_out_cancel(&mut self, name: &str, epoch: u64, id: &str) {
+    /// Stops the committed tasks of a cancelled job, and removes its pending-job entry once nothing
+    /// is committed.
+    fn finish_cancellation(&mut self, name: &str, epoch: u64, id: &str) {
         if self.stop_tasks(name, id, |t| t.worker.is_some()) == 0 {
-            self.touched(name, epoch, id);
+            self.sync_pending(name, epoch, id);
         }
     }
 
-    /// Orders stops for the committed tasks of `id` that `which` picks; returns how many are
-    /// still committed.
+    /// Orders stops for the committed tasks of `id` that `selects` picks, and returns their number.
     fn stop_tasks(
         &mut self,
         name: &str,
         id: &str,
-        which: impl Fn(&rows::TaskRow) -> bool,
+        selects: impl Fn(&rows::TaskRow) -> bool,
     ) -> usize {
         let Some(row) = self.job(id) else { return 0 };
         let mut stops = Vec::new();
-        for (n, t) in row.tasks.iter().enumerate().filter(|(_, t)| which(t)) {
+        for (n, t) in row.tasks.iter().enumerate().filter(|(_, t)| selects(t)) {
             let task = row.task_id(n);
             let Some(worker) = &t.worker else { continue };
             let Some(&k) = self.s.names.get(worker) else { continue };
@@ -87,20 +90,20 @@
                 stops.push(StopReq { task, attempt: t.attempt, worker: worker.clone() });
             }
         }
-        let left = stops.len();
+        let committed = stops.len();
         self.plan.stops.extend(stops.into_iter().map(|s| (name.to_string(), s)));
-        left
+        committed
     }
 
-    /// Refuses, places, moves or makes room for a job with tasks waiting.
+    /// Refuses, places or moves a job with waiting tasks, or preempts batch tasks for it.
     fn serve_pending(&mut self, name: &str, epoch: u64, shard: &Shard, id: &str) {
         let Some(row) = self.job(id) else { return };
         if let Some(reason) = self.refusal(row) {
             return self.refuse(name, epoch, id, reason);
         }
         if row.class == Class::Gang && row.placed() {
-            // One member ended early: a gang works only together, so the others are stopped
-            // and the whole gang is placed again.
+            // A member ended early. The members of a gang only work together, so the others are
+            // stopped and the whole gang is placed again.
             self.stop_tasks(name, id, |t| t.state == TaskState::Placed);
             return;
         }
@@ -111,56 +114,63 @@
         if row.retry > self.plan.now {
             return;
         }
-        let left = self.place_waiting(name, epoch, shard, id);
-        if left > 0 {
-            self.find_room(name, epoch, shard, id, left);
+        let unplaced = self.place_waiting(name, epoch, shard, id);
+        if unplaced > 0 {
+            self.migrate_or_preempt(name, epoch, shard, id, unplaced);
         }
     }
 
-    /// Places as many of a job's waiting tasks as quota and room allow; returns how many the
-    /// quota allows and the room does not.
+    /// Places as many waiting tasks of a job as quota and free capacity allow. Returns the number
+    /// of tasks that the quota allows but that do not fit.
     fn place_waiting(&mut self, name: &str, epoch: u64, shard: &Shard, id: &str) -> usize {
         let Some(row) = self.job(id) else { return 0 };
         let Some(entry) = self.cx.cat.entries.get(&row.spec.entry) else { return 0 };
         let (demand, class, team) = (row.spec.demand, row.class, row.team.clone());
         let waiting: Vec<usize> = pending(row);
         let pool = self.candidates(shard, row);
-        let room = self.quota_room(name, &team, &entry.quota, &demand, waiting.len() as u64);
-        let want = waiting.len().min(room as usize);
-        if want < waiting.len() {
+        let allowed = self.quota_headroom(name, &team, &entry.quota, &demand, waiting.len() as u64);
+        let wanted = waiting.len().min(allowed as usize);
+        if wanted < waiting.len() {
             self.plan.counts.over_quota += 1;
             self.plan.blocked.insert(team.clone());
-            if class == Class::Gang || want == 0 {
+            if class == Class::Gang || wanted == 0 {
                 return 0;
             }
         }
-        let chosen = (registry::policy(class).choose)(&demand, want, &pool).unwrap_or_default();
+        let chosen = (registry::policy(class).choose)(&demand, wanted, &pool).unwrap_or_default();
         let placed = chosen.len();
         if placed > 0 {
             self.grant(name, &team, &entry.quota, &demand.times(placed as u64));
             for (&n, k) in waiting.iter().zip(chosen) {
                 self.place(name, epoch, id, n, k);
             }
-            self.touched(name, epoch, id);
+            self.sync_pending(name, epoch, id);
         }
-        want - placed
+        wanted - placed
     }
 
-    /// Moves a job that found no room here, or makes room for it: urgent work stops batch tasks
-    /// only when no other shard could take it as it is.
-    fn find_room(&mut self, name: &str, epoch: u64, shard: &Shard, id: &str, left: usize) {
-        if self.spill(name, epoch, id) {
+    /// Moves a job that does not fit here to another shard, or preempts batch tasks for `unplaced`
+    /// of its tasks. Urgent work preempts only if no other shard has capacity for it.
+    fn migrate_or_preempt(
+        &mut self,
+        name: &str,
+        epoch: u64,
+        shard: &Shard,
+        id: &str,
+        unplaced: usize,
+    ) {
+        if self.migrate(name, epoch, id) {
             return;
         }
         let Some(row) = self.job(id) else { return };
         let demand = row.spec.demand;
-        if row.class == Class::Urgent && self.room_elsewhere(name, row).is_none() {
-            self.preempt(name, shard, &demand, left);
+        if row.class == Class::Urgent && self.shard_with_capacity(name, row).is_none() {
+            self.preempt(name, shard, &demand, unplaced);
         }
     }
 
-    /// Why a job can no longer be run, if so: only a job of which nothing was ever placed is
-    /// refused as not run.
+    /// Returns the reason if a job can no longer run. A job is refused only if none of its tasks
+    /// was ever placed.
     fn refusal(&self, row: &JobRow) -> Option<&'static str> {
         if row.ever_placed() {
             return None;
@@ -169,7 +179,7 @@
             return Some("deadline passed before a place was found");
         }
         if self.cx.cat.version < row.catalogue {
-            // The job was accepted under a later catalogue than the one known here.
+            // The job was accepted under a later catalogue than the one on this instance.
             return None;
         }
         match self.cx.cat.entries.get(&row.spec.entry) {
@@ -181,29 +191,30 @@
         }
     }
 
-    /// "Not run" is committed before it is said: with the tasks refused and the mark gone,
-    /// nothing of this job will ever be placed.
+    /// Refuses a job as not run. The refusal is committed before a caller can read it: with its
+    /// tasks refused and its pending-job entry removed, no task of the job is placed afterwards.
     fn refuse(&mut self, name: &str, epoch: u64, id: &str, reason: &str) {
         let Some(row) = self.job_mut(id) else { return };
         row.state = JobState::Refused { reason: reason.into() };
         row.tasks.iter_mut().for_each(|t| t.state = TaskState::Refused);
         self.plan.counts.refused += 1;
-        self.touched(name, epoch, id);
+        self.sync_pending(name, epoch, id);
     }
 
+    /// Fails the waiting tasks of a gang of which a member has failed permanently.
     fn fail_gang(&mut self, name: &str, epoch: u64, id: &str) {
         let now = self.plan.now;
         let Some(row) = self.job_mut(id) else { return };
         for t in row.tasks.iter_mut().filter(|t| t.state == TaskState::Pending) {
             t.state = TaskState::Failed;
         }
-        settle(row, now);
-        self.touched(name, epoch, id);
+        update_state(row, now);
+        self.sync_pending(name, epoch, id);
     }
 
-    /// Workers of the shard on which a task of `row` may be placed. A task that failed goes
-    /// elsewhere first: if it fails there too the job is to blame, if not the worker is, and
-    /// either way it costs one try to know.
+    /// Returns the workers of the shard on which a task of `row` may be placed. Workers on which
+    /// the job has failed are left out as long as others fit. A second failure elsewhere shows that
+    /// the job is faulty, a success that the worker is, at the cost of one attempt.
     fn candidates(&self, shard: &Shard, row: &JobRow) -> Vec<Candidate> {
         let usable = |k: &WorkerKey| {
             let w = self.s.workers.get(*k);
@@ -219,6 +230,7 @@
         pool
     }
 
+    /// Describes worker `key` to the placement policy as a candidate for a task of `row`.
     fn candidate(&self, key: WorkerKey, row: &JobRow) -> Candidate {
         let (w, commit) = (self.s.workers.get(key), self.commit(key));
         let own = format!("{}.", row.id);
@@ -230,6 +242,7 @@
         Candidate { key, rack, free: cap.sub(&commit.used), cap, same_job }
     }
 
+    /// Places task `n` of job `id` on worker `k` and orders its start.
     fn place(&mut self, name: &str, epoch: u64, id: &str, n: usize, k: WorkerKey) {
         let now = self.plan.now;
         let worker = self.s.workers.get(k).info.name.clone();
@@ -240,14 +253,14 @@
         t.worker = Some(worker.clone());
         t.epoch = epoch;
         t.attempt += 1;
-        settle(row, now);
+        update_state(row, now);
         self.commit_mut(k).add(&task, demand);
         self.plan.counts.placed += 1;
         self.order_start(name, epoch, id, n, &worker);
     }
 }
 
-/// Numbers of the tasks that wait for a place.
+/// Returns the numbers of the tasks that wait for placement.
 fn pending(row: &JobRow) -> Vec<usize> {
     let waits = |t: &rows::TaskRow| t.state == TaskState::Pending;
     row.tasks.iter().enumerate().filter(|(_, t)| waits(t)).map(|(n, _)| n).collect()
--- a/src/entry/sched/spill.rs
+++ b/src/entry/sched/spill.rs
@@ -1,8 +1,11 @@
-//! Moving a job that finds no room in its shard to one that has some, by the workers' lagging
-//! usage. What goes wrong without it: a job waits on a full rack while the next one is empty.
-//! Only a job with nothing placed moves, and its mark and row move in one transaction, so
-//! exactly one holder places it. The usage may be stale: the new holder decides by commitments,
-//! and each move waits twice as long as the last, so a job does not wander.
+//! Moves a job that does not fit in its shard to a shard with free capacity, according to the
+//! delayed usage reports of the workers. Without it, a job would wait on a full rack while
+//! another one is empty.
+//!
+//! Only a job without placed tasks is moved. Its pending-job entry and its row change in one
+//! transaction, so exactly one holder places it. As the usage may be out of date, the new holder
+//! decides by its commitments, and the wait doubles with each move, which bounds the rate of
+//! moves.
 
 use super::plan::Draft;
 use crate::entry::rows::JobRow;
@@ -10,42 +13,45 @@
 use crate::kernel::res::Class;
 use crate::standin::tasks::RackRoom;
 
-/// Wait in a shard before the first move, ms, for urgent work.
+/// Time that an urgent job waits in a shard before its first move, ms.
 const URGENT_WAIT_MS: Millis = 300;
 
-/// Moves of urgent work before it makes room where it is: it must start within 8.7 s (letter 1).
+/// Number of moves after which an urgent job preempts batch tasks where it is; it must start within
+/// 8.7 s.
 const URGENT_MOVES: u32 = 2;
 
-/// Wait in a shard before the first move, ms, for the rest.
+/// Time that a job of another class waits in a shard before its first move, ms.
 const WAIT_MS: Millis = 2_000;
 
-/// The wait doubles with each move, at most this often.
+/// Most times that the wait doubles; it does so with each move.
 const MAX_DOUBLINGS: u32 = 5;
 
 impl Draft<'_> {
     /// Moves job `id` out of shard `name` if it has waited long enough and another shard has
-    /// room for it; whether it moved.
-    pub(super) fn spill(&mut self, name: &str, epoch: u64, id: &str) -> bool {
+    /// capacity for it. Returns whether the job was moved.
+    pub(super) fn migrate(&mut self, name: &str, epoch: u64, id: &str) -> bool {
         let Some(row) = self.job(id) else { return false };
-        if row.placed() || !self.waited(name, row) {
+        if row.placed() || !self.waited_enough(name, row) {
             return false;
         }
-        let Some(to) = self.room_elsewhere(name, row) else { return false };
+        let Some(to) = self.shard_with_capacity(name, row) else { return false };
         self.move_job(name, epoch, id, &to);
         true
     }
 
-    /// The shard other than `name` with most room that could take `row`, if there is one. For
-    /// urgent work that has moved before there is none: what the lagging room promised was gone.
-    pub(super) fn room_elsewhere(&self, name: &str, row: &JobRow) -> Option<String> {
+    /// Returns the shard other than `name` with the most free capacity into which `row` fits. There
+    /// is none for an urgent job that has moved [`URGENT_MOVES`] times, as the capacity reported
+    /// for its earlier targets was no longer free.
+    pub(super) fn shard_with_capacity(&self, name: &str, row: &JobRow) -> Option<String> {
         if row.moves >= URGENT_MOVES && row.class == Class::Urgent {
             return None;
         }
-        let others = self.s.rooms.values().filter(|r| r.shard != name && takes(r, row));
+        let others = self.s.rooms.values().filter(|r| r.shard != name && row_fits(r, row));
         others.max_by_key(|r| (r.free, r.shard.clone())).map(|r| r.shard.clone())
     }
 
-    fn waited(&self, name: &str, row: &JobRow) -> bool {
+    /// Returns whether `row` has waited in shard `name` long enough for its next move.
+    fn waited_enough(&self, name: &str, row: &JobRow) -> bool {
         let Some(since) = self.s.marks.get(name).and_then(|m| m.get(&row.id)) else {
             return false;
         };
@@ -54,9 +60,10 @@
     }
 }
 
-/// Whether `room` could take `row`: a gang whole, another job at least one task.
-fn takes(room: &RackRoom, row: &JobRow) -> bool {
+/// Returns whether `row` fits into `room`: all tasks of a gang, one task of any other job.
+fn row_fits(room: &RackRoom, row: &JobRow) -> bool {
     let demand = &row.spec.demand;
-    let whole = row.class != Class::Gang || demand.times(row.tasks.len() as u64).fits(&room.free);
-    whole && demand.fits(&room.largest)
+    let gang_fits =
+        row.class != Class::Gang || demand.times(row.tasks.len() as u64).fits(&room.free);
+    gang_fits && demand.fits(&room.largest)
 }
--- a/src/entry/sched/sweep.rs
+++ b/src/entry/sched/sweep.rs
@@ -1,9 +1,10 @@
-//! Keeping the table small: outcomes older than the retention are written as a report to the
-//! object store, then their rows are removed, in one fenced transaction a sweep.
+//! Garbage collection of the table. Jobs that ended before the retention time are written as a
+//! report to the object store, and their rows are then removed in one fenced transaction per pass.
+//! Old write records are removed in the same way, without a report.
 //!
-//! What goes wrong without it: job rows and write records pile up for good, and every scan and
-//! takeover grows with them. A sweep that dies between the report and the removal only writes
-//! the report again.
+//! Without it, job rows and write records accumulate without limit, and every scan and takeover
+//! grows with them. If a pass fails between the report and the removal, the next one writes the
+//! report again.
 
 use crate::entry::rows::{self, JobRow};
 use crate::kernel::clock::Millis;
@@ -12,32 +13,34 @@
 use crate::standin::table::{Cond, Op, Outcome, Txn};
 use std::collections::BTreeMap;
 
-/// Most rows removed in one sweep of a shard.
-const PAGE: usize = 400;
+/// Most ids of ended jobs, or of writes, removed in one pass over a shard.
+const MAX_IDS_PER_PASS: usize = 400;
 
-/// What a sweep works with.
+/// Inputs of a garbage collection pass.
 pub struct Sweep<'a> {
-    /// The platform.
+    /// Client of the platform.
     pub platform: &'a Client,
-    /// This instance's id.
+    /// Id of this instance.
     pub me: &'a str,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: &'a str,
-    /// Outcomes that ended before this are swept.
+    /// Jobs and writes that ended before this time are removed, ms.
     pub before: Millis,
 }
 
 impl Sweep<'_> {
-    /// Keys under `prefix`, in order of the time they carry, that are old enough: (key, id).
-    async fn old(&self, prefix: &str) -> Result<Vec<(String, String)>, PlatformError> {
+    /// Returns the keys under `prefix` whose time is before the limit, oldest first, as (key, id).
+    async fn expired(&self, prefix: &str) -> Result<Vec<(String, String)>, PlatformError> {
         let rows = self.platform.scan(prefix).await?;
         let parse = |key: &String| {
             let (at, id) = key.strip_prefix(prefix)?.split_once('/')?;
             (at.parse::<Millis>().ok()? < self.before).then(|| (key.clone(), id.to_string()))
         };
-        Ok(rows.keys().filter_map(parse).take(PAGE).collect())
+        Ok(rows.keys().filter_map(parse).take(MAX_IDS_PER_PASS).collect())
     }
 
+    /// Removes `keys` in one transaction under the lease of `shard`. Returns the number of rows
+    /// removed, 0 if the lease was lost.
     async fn remove(
         &self,
         shard: &str,
@@ -53,13 +56,14 @@
         }
     }
 
-    /// Sweeps the ended jobs of `shard`, held under `epoch`; how many rows were removed.
+    /// Removes the ended jobs of `shard`, held under `epoch`, and returns the number of rows
+    /// removed.
     pub async fn jobs(&self, shard: &str, epoch: u64) -> Result<usize, PlatformError> {
-        let old = self.old(&rows::done_prefix(self.domain, shard)).await?;
-        if old.is_empty() {
+        let expired = self.expired(&rows::done_prefix(self.domain, shard)).await?;
+        if expired.is_empty() {
             return Ok(0);
         }
-        let keys = old.iter().map(|(_, id)| rows::job_key(id)).collect();
+        let keys = expired.iter().map(|(_, id)| rows::job_key(id)).collect();
         let jobs: BTreeMap<String, JobRow> = self
             .platform
             .get(keys)
@@ -72,17 +76,18 @@
             serde_json::json!({ "shard": shard, "jobs": jobs.values().collect::<Vec<_>>() });
         let name = format!("report-{shard}-{:015}", self.before);
         self.platform.put_object(&name, report.to_string()).await?;
-        let gone = old.into_iter().map(|(key, _)| key).chain(jobs.into_keys()).collect();
+        let gone = expired.into_iter().map(|(key, _)| key).chain(jobs.into_keys()).collect();
         self.remove(shard, epoch, gone).await
     }
 
-    /// Sweeps the domain's old write records, under the lease of `shard`.
+    /// Removes the old write records of the domain under the lease of `shard`, and returns the
+    /// number of rows removed.
     pub async fn writes(&self, shard: &str, epoch: u64) -> Result<usize, PlatformError> {
-        let old = self.old(&rows::wrote_prefix(self.domain)).await?;
-        if old.is_empty() {
+        let expired = self.expired(&rows::wrote_prefix(self.domain)).await?;
+        if expired.is_empty() {
             return Ok(0);
         }
-        let gone = old.into_iter().flat_map(|(key, id)| [key, rows::write_key(&id)]).collect();
+        let gone = expired.into_iter().flat_map(|(key, id)| [key, rows::write_key(&id)]).collect();
         self.remove(shard, epoch, gone).await
     }
 }
--- a/src/entry/snapshot.rs
+++ b/src/entry/snapshot.rs
@@ -1,22 +1,22 @@
-//! The catalogue's snapshot in the object store: what an instance starts from when the table
-//! is away. It may be old; the table's versions overrule it as soon as they can be read.
+//! Snapshot of the catalogue in the object store, from which an instance starts while the table is
+//! unavailable. It may be out of date, and is replaced by any later version read from the table.
 
 use crate::entry::catalogue::Catalogue;
 use crate::standin::client::{Client, PlatformError};
 
-fn name(domain: &str) -> String {
+fn object_name(domain: &str) -> String {
     format!("catalogue-{domain}")
 }
 
-/// Writes the snapshot of `domain`.
+/// Writes the catalogue snapshot of failure domain `domain`.
 pub async fn save(platform: &Client, domain: &str, cat: &Catalogue) -> Result<(), PlatformError> {
     let text = serde_json::to_string(cat)
         .map_err(|e| PlatformError::Transport { detail: e.to_string() })?;
-    platform.put_object(&name(domain), text).await.map(drop)
+    platform.put_object(&object_name(domain), text).await.map(drop)
 }
 
-/// Reads the snapshot of `domain`, if there is a readable one.
+/// Reads the catalogue snapshot of failure domain `domain`; none if it is absent or unreadable.
 pub async fn load(platform: &Client, domain: &str) -> Option<Catalogue> {
-    let object = platform.get_object(&name(domain)).await.ok()?;
+    let object = platform.get_object(&object_name(domain)).await.ok()?;
     serde_json::from_str(&object.body).ok()
 }
--- a/src/entry/writes.rs
+++ b/src/entry/writes.rs
@@ -1,13 +1,14 @@
 //! Non-idempotent writes, at most once.
 //!
-//! What goes wrong otherwise: a write runs, its answer is lost, the caller repeats it through
-//! another entry instance, and it runs again on another runner. So the ledger names the runner
-//! before the write is sent; the frame is sent at most once to a runner; a repeat asks that
-//! runner what became of it. "Busy" from the runner means not run there, for good, and only
-//! then is the record moved and the write sent elsewhere. A runner that has restarted has
-//! forgotten what it ran: then the outcome is unknown, and is said so.
+//! Without it, a write whose answer is lost could run a second time on another runner when the
+//! caller repeats it through another entry instance. The ledger therefore records the runner before
+//! the write is sent, the frame is sent to a runner at most once, and a repeat queries that runner
+//! for the outcome. A `Busy` answer means that the runner has not run the write and never will;
+//! only then is the record changed to another runner and the write sent there. A restarted runner
+//! no longer has the outcomes of its previous incarnation, so the caller is told that the outcome
+//! is unknown.
 
-use crate::entry::ledger::{Claimed, Ledger, LedgerError};
+use crate::entry::ledger::{Ledger, LedgerError, RecordResult};
 use crate::entry::route::{Pool, RouteError, RunnerKey};
 use crate::entry::rows::WriteRow;
 use crate::kernel::clock::Clock;
@@ -15,56 +16,57 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Most runners that one request moves a write through.
-const MOVES: usize = 3;
+/// Most runners that are tried for one request.
+const MAX_RUNNERS_TRIED: usize = 3;
 
-/// When to ask again about a write whose outcome is not known, ms.
-const UNKNOWN_MS: u64 = 1_000;
+/// Retry delay sent to the caller of a write with unknown outcome, ms.
+const UNKNOWN_RETRY_MS: u64 = 1_000;
 
 /// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteDone {
-    /// Write id.
+    /// Id of the write.
     pub write: String,
-    /// Executions of this id on that runner.
+    /// Number of executions of the write on that runner.
     pub runs: u64,
-    /// Runner that ran it.
+    /// Runner that executed the write.
     pub runner: String,
 }
 
-/// Why a write has no outcome.
+/// Reason why a write has no outcome.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum WriteError {
-    /// Not run: no record of it could be made.
+    /// The write did not run, as no record could be committed.
     #[error("not run: {0}")]
     Ledger(#[from] LedgerError),
-    /// Not run: no runner takes it now.
+    /// The write did not run, as no runner accepts it now.
     #[error("not run: {0}")]
     Refused(RouteError),
-    /// Sent, and the outcome is not known: it may have run, and is not run again. Ask again with
-    /// the same id after `retry_ms`.
+    /// The write was sent and may have run; it will not run again. The caller may repeat it with
+    /// the same id after `retry_ms` to query the outcome.
     #[error("outcome unknown: sent to {runner}, ask again with the same id")]
     Unknown {
-        /// Runner it was sent to.
+        /// Runner to which the write was sent.
         runner: String,
-        /// When to ask again.
+        /// Delay before a repeat, ms.
         retry_ms: u64,
     },
 }
 
-/// Where a write stands.
-enum Step {
-    /// Settled.
+/// Result of one attempt to run a write or to query its outcome.
+enum Progress {
+    /// The write has run.
     Done(WriteDone),
-    /// The record at this version may be moved: the runner refused for good.
+    /// The runner has refused the write permanently, so the record at this version may be changed
+    /// to another runner.
     Refused(u64, RunnerKey, RouteError),
 }
 
 /// The write path of one entry instance.
 pub struct Writes {
-    /// Connections to runners.
+    /// Connections to the runners.
     pub pool: Arc<Pool>,
-    /// The ledger.
+    /// Ledger of writes.
     pub ledger: Arc<Ledger>,
     /// The process clock.
     pub clock: Clock,
@@ -73,33 +75,33 @@
 }
 
 impl Writes {
-    /// Runs write `id` at most once, or says what became of it.
+    /// Runs write `id` at most once, and returns its outcome or the one of an earlier request.
     pub async fn run(&self, id: &str, body: &str) -> Result<WriteDone, WriteError> {
         let deadline = self.clock.now() + self.write_ms;
         let mut tried: Vec<RunnerKey> = Vec::new();
         let mut version = 0;
-        let mut last = RouteError::NoRunner { retry_ms: self.pool.retry_ms() };
-        for _ in 0..MOVES {
+        let mut last_refusal = RouteError::NoRunner { retry_ms: self.pool.retry_ms() };
+        for _ in 0..MAX_RUNNERS_TRIED {
             let Some(k) = self.pool.pick(&tried) else { break };
             let Some((runner, incarnation)) = self.pool.identity(k) else { break };
             let row = WriteRow { runner, incarnation, runs: None };
-            let step = match self.ledger.record(id, row.clone(), version).await? {
-                Claimed::Recorded(v) => self.send(k, &row, v, id, body, deadline).await?,
-                Claimed::Other(row, v) => self.ask(&row, v, id, deadline).await?,
+            let progress = match self.ledger.record(id, row.clone(), version).await? {
+                RecordResult::Recorded(v) => self.send(k, &row, v, id, body, deadline).await?,
+                RecordResult::Other(row, v) => self.query(&row, v, id, deadline).await?,
             };
-            match step {
-                Step::Done(done) => return Ok(done),
-                Step::Refused(v, k, e) => {
+            match progress {
+                Progress::Done(done) => return Ok(done),
+                Progress::Refused(v, k, e) => {
                     version = v;
-                    last = e;
+                    last_refusal = e;
                     tried.push(k);
                 }
             }
         }
-        Err(WriteError::Refused(last))
+        Err(WriteError::Refused(last_refusal))
     }
 
-    /// Sends the write to the runner just recorded.
+    /// Sends the write to runner `k`, for which the record was just committed.
     async fn send(
         &self,
         k: RunnerKey,
@@ -108,65 +110,67 @@
         id: &str,
         body: &str,
         deadline: u64,
-    ) -> Result<Step, WriteError> {
-        let left = deadline.saturating_sub(self.clock.now()).max(1);
+    ) -> Result<Progress, WriteError> {
+        let remaining = deadline.saturating_sub(self.clock.now()).max(1);
         let make = |n| Frame::Write { id: n, write: id.to_string(), body: body.to_string() };
-        match self.pool.exchange(k, row.incarnation, left, make).await {
-            // Never left this process, and whoever asks about it will be told "busy" by the
-            // runner for good, or find the runner gone.
-            Err(e @ RouteError::NoRunner { .. }) => Ok(Step::Refused(version, k, e)),
-            other => self.settle(k, row, version, id, other),
+        match self.pool.exchange(k, row.incarnation, remaining, make).await {
+            // The write never left this process. Queries for it get `Busy` from the runner, or
+            // find that its incarnation is gone.
+            Err(e @ RouteError::NoRunner { .. }) => Ok(Progress::Refused(version, k, e)),
+            reply => self.handle_reply(k, row, version, id, reply),
         }
     }
 
-    /// Asks the runner that the record names what became of the write.
-    async fn ask(
+    /// Returns the recorded outcome of the write, or queries the runner named in the record.
+    async fn query(
         &self,
         row: &WriteRow,
         version: u64,
         id: &str,
         deadline: u64,
-    ) -> Result<Step, WriteError> {
+    ) -> Result<Progress, WriteError> {
         if let Some(runs) = row.runs {
             let runner = row.runner.clone();
-            return Ok(Step::Done(WriteDone { write: id.to_string(), runs, runner }));
+            return Ok(Progress::Done(WriteDone { write: id.to_string(), runs, runner }));
         }
         let Some(k) = self.pool.find(&row.runner, row.incarnation) else {
             return Err(unknown(row));
         };
-        let left = deadline.saturating_sub(self.clock.now()).max(1);
+        let remaining = deadline.saturating_sub(self.clock.now()).max(1);
         let make = |n| Frame::Query { id: n, write: id.to_string() };
-        let got = self.pool.exchange(k, row.incarnation, left, make).await;
-        self.settle(k, row, version, id, got)
+        let reply = self.pool.exchange(k, row.incarnation, remaining, make).await;
+        self.handle_reply(k, row, version, id, reply)
     }
 
-    fn settle(
+    /// Converts the reply of runner `k` to a write or a query, and records the outcome.
+    fn handle_reply(
         &self,
         k: RunnerKey,
         row: &WriteRow,
         version: u64,
         id: &str,
-        got: Result<Frame, RouteError>,
-    ) -> Result<Step, WriteError> {
-        match got {
+        reply: Result<Frame, RouteError>,
+    ) -> Result<Progress, WriteError> {
+        match reply {
             Ok(Frame::Done { write, runs, .. }) if write == id => {
-                self.pool.note(k, true);
+                self.pool.record_result(k, true);
                 let done = WriteRow { runs: Some(runs), ..row.clone() };
-                self.ledger.note(id, done, version);
+                self.ledger.record_outcome(id, done, version);
                 let runner = row.runner.clone();
-                Ok(Step::Done(WriteDone { write, runs, runner }))
+                Ok(Progress::Done(WriteDone { write, runs, runner }))
             }
             Ok(Frame::Busy { retry_ms, .. }) => {
-                Ok(Step::Refused(version, k, RouteError::Busy { retry_ms }))
+                Ok(Progress::Refused(version, k, RouteError::Busy { retry_ms }))
             }
             _ => {
-                self.pool.note(k, false);
+                self.pool.record_result(k, false);
                 Err(unknown(row))
             }
         }
     }
 }
 
+/// Builds the error for a write with unknown outcome.
 fn unknown(row: &WriteRow) -> WriteError {
-    WriteError::Unknown { runner: row.runner.clone(), retry_ms: UNKNOWN_MS }
+    WriteError::Unknown { runner: row.runner.clone(), retry_ms: UNKNOWN_RETRY_MS }
 }
