--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small cell in the test process, on loopback: the platform stand-in, runners and entry
-//! instances, each with its own stop trigger, joined on `stop`.
+//! A small cell in the test process, on the loopback interface: the platform stand-in, runners and
+//! entry instances, each with its own stop trigger. `stop` joins all of them.
 
 #![allow(dead_code)]
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// A running cell.
+/// A running cell in the test process.
 pub struct TestCell {
     pub cell: Cell,
     pub platform: Arc<Platform>,
@@ -89,7 +89,7 @@
         let clock = Clock::real();
         let names: Vec<String> = cell.runners.iter().map(|r| r.id.clone()).collect();
         let platform = Arc::new(Platform::new(cell.platform.clone(), &names, clock.clone()));
-        let mut me = Self {
+        let mut this = Self {
             cell: cell.clone(),
             platform: platform.clone(),
             runners: vec![],
@@ -107,23 +107,23 @@
         )
         .await
         .unwrap();
-        me.triggers.push(t);
-        me.tasks.push(async_std::task::spawn(async move { serve.await.unwrap() }));
+        this.triggers.push(t);
+        this.tasks.push(async_std::task::spawn(async move { serve.await.unwrap() }));
         for r in &cell.runners {
             let runner = Runner::new(r.clone(), cell.runner.clone(), clock.clone());
             let (t, s) = stop::pair();
-            me.triggers.push(t);
+            this.triggers.push(t);
             let run = runner.clone();
-            me.tasks.push(async_std::task::spawn(async move { run.serve(s).await.unwrap() }));
-            me.runners.push(runner);
+            this.tasks.push(async_std::task::spawn(async move { run.serve(s).await.unwrap() }));
+            this.runners.push(runner);
         }
         for e in &cell.entries {
-            me.add_entry(&e.id).await;
+            this.add_entry(&e.id).await;
         }
-        me
+        this
     }
 
-    /// Starts entry `id` of the settings.
+    /// Starts entry `id` of the settings and returns its index.
     pub async fn add_entry(&mut self, id: &str) -> usize {
         let (t, s) = stop::pair();
         let entry = Entry::new(&self.cell, id, Clock::real(), s).unwrap();
@@ -134,12 +134,13 @@
         self.entries.len() - 1
     }
 
-    /// Base URL of entry `i`.
+    /// Returns the base URL of entry `i`.
     pub fn url(&self, i: usize) -> String {
         format!("http://{}", self.cell.entries[i].listen)
     }
 
-    /// Waits (bounded) until every shard is held by some entry and runners are connected.
+    /// Waits until all shards are held and all runners are connected to every entry; panics after
+    /// 100 attempts at intervals of 50 ms.
     pub async fn ready(&self) {
         for _ in 0..100 {
             let mut held = 0;
@@ -158,7 +159,7 @@
         panic!("cell did not become ready");
     }
 
-    /// Stops everything and joins every task.
+    /// Stops all processes of the cell and joins their tasks.
     pub async fn stop(mut self) {
         for t in self.triggers.iter_mut().rev() {
             t.fire();
@@ -169,7 +170,7 @@
     }
 }
 
-/// One HTTP client for every test of the process.
+/// HTTP client shared by all tests of the process.
 pub fn client() -> &'static surf::Client {
     static CLIENT: std::sync::OnceLock<surf::Client> = std::sync::OnceLock::new();
     CLIENT.get_or_init(currantgw::http::client)
@@ -189,13 +190,13 @@
     (status, res.body_json().await.unwrap_or(serde_json::Value::Null))
 }
 
-/// GETs JSON from a process that may not answer.
+/// GETs JSON from a process that may not answer; none after 2 s or on an error.
 pub async fn try_get(url: &str) -> Option<serde_json::Value> {
-    let got = client().get(url).recv_json();
-    async_std::future::timeout(Duration::from_secs(2), got).await.ok()?.ok()
+    let answer = client().get(url).recv_json();
+    async_std::future::timeout(Duration::from_secs(2), answer).await.ok()?.ok()
 }
 
-/// A job of `tasks` tasks of one core and 1 GiB each.
+/// A job with `tasks` tasks of one core and 1 GiB each.
 pub fn job(entry: &str, tasks: u32, run_ms: u64, key: &str) -> serde_json::Value {
     serde_json::json!({
         "entry": entry, "tasks": tasks, "demand": { "cpu": 1000, "mem": 1024 },
@@ -203,14 +204,14 @@
     })
 }
 
-/// GETs JSON.
+/// GETs JSON and returns status and body.
 pub async fn get(url: &str) -> (u16, serde_json::Value) {
     let mut res = client().get(url).await.unwrap();
     let status: u16 = res.status().into();
     (status, res.body_json().await.unwrap_or(serde_json::Value::Null))
 }
 
-/// The example catalogue as an edit against `base`.
+/// The example catalogue as an edit based on version `base`.
 pub fn catalogue(base: u64) -> serde_json::Value {
     let mut v: serde_json::Value =
         serde_json::from_str(include_str!("../../examples/catalogue.json")).unwrap();
@@ -218,7 +219,7 @@
     v
 }
 
-/// Polls `f` until it is true, at most `tries` × 50 ms.
+/// Calls `f` up to `tries` times, at intervals of 50 ms, until it returns true.
 pub async fn eventually<F, Fut>(tries: u32, mut f: F) -> bool
 where
     F: FnMut() -> Fut,
--- a/tests/common/runner.rs
+++ b/tests/common/runner.rs
@@ -1,5 +1,5 @@
-//! A runner as the platform's protocol has it: fencing tokens, a lease on its own clock, lists of
-//! what runs and what has ended.
+//! A simulated runner that follows the platform's protocol: fencing tokens, a lease on its own
+//! clock, and lists of running tasks and of completions.
 
 #![allow(dead_code)]
 
@@ -8,26 +8,26 @@
 use currantgw::kernel::res::Resources;
 use std::collections::BTreeMap;
 
-/// A run of a task on a fake runner.
+/// A task that runs on a simulated runner.
 #[derive(Clone, Debug)]
 pub struct Running {
-    /// Number of its start.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// When it started, ms.
+    /// Time of the start, ms.
     pub began: u64,
-    /// Work it has to do, ms.
+    /// Total work, ms.
     pub work: u64,
     /// Work done, ms.
     pub worked: u64,
-    /// When a stop comes into effect, ms.
+    /// Time at which an ordered stop takes effect, ms.
     pub stopping: Option<u64>,
-    /// Room it takes.
+    /// Resources in use.
     pub need: Resources,
-    /// It ends failed.
+    /// Whether the task will end as failed.
     pub fails: bool,
-    /// Members of its gang, if it is of one.
+    /// Number of members of the gang, for a member of one.
     pub gang: Option<u32>,
-    /// It writes checkpoints.
+    /// Whether the task writes checkpoints.
     pub saves: bool,
 }
 
@@ -35,61 +35,65 @@
 const CHECKPOINT_MS: u64 = 2_000;
 
 impl Running {
-    /// The checkpoint to resume from: work done, at a stop all of it; empty for none.
+    /// Returns the checkpoint to resume from: the work done up to the last interval, or up to now
+    /// at a stop; empty if there is none.
     fn saved(&self, stopped: bool) -> String {
-        let whole = self.worked / CHECKPOINT_MS * CHECKPOINT_MS;
-        let done = if stopped { self.worked } else { whole };
+        let at_interval = self.worked / CHECKPOINT_MS * CHECKPOINT_MS;
+        let done = if stopped { self.worked } else { at_interval };
         match self.saves && done > 0 {
             true => format!("{done:08}"),
             false => String::new(),
         }
     }
 
-    /// Progress, whole percent as runners report it.
+    /// Returns the progress in whole percent, as runners report it.
     pub fn percent(&self) -> f64 {
         (100 * self.worked / self.work.max(1)) as f64
     }
 }
 
-/// A life of a runner.
+/// One incarnation of a simulated runner.
 #[derive(Clone, Debug)]
 pub struct FakeRunner {
-    /// Its id.
+    /// Id of the runner.
     pub id: String,
-    /// Its capacity.
+    /// Total capacity.
     pub room: Resources,
-    /// It exists; a dead one answers nothing.
+    /// Whether the runner exists; otherwise it answers no call.
     pub up: bool,
-    /// Nothing reaches it before this time.
+    /// Time until which the runner is unreachable, ms.
     pub cut_until: u64,
-    /// Its tasks make no progress.
+    /// Whether its tasks make no progress.
     pub hangs: bool,
-    /// Its tasks all fail.
+    /// Whether all its tasks fail.
     pub fails: bool,
-    /// Another life answers at its address.
+    /// Whether another incarnation answers at its address.
     pub replaced: bool,
-    /// It refuses tickets before this time.
+    /// Time until which the runner refuses tickets, ms.
     pub refuses_until: u64,
-    /// Starts carried out.
+    /// Number of starts carried out.
     pub started: u32,
     /// Highest fencing token seen.
     pub fence: u64,
-    /// End of the lease on its clock, ms.
+    /// End of the lease by its own clock, ms.
     pub lease: u64,
-    /// What runs.
+    /// Running tasks.
     pub running: BTreeMap<TaskId, Running>,
-    /// Ends not yet acknowledged.
+    /// Completions not yet acknowledged.
     pub ends: Vec<End>,
-    /// Highest attempt of each task that was stopped or has ended here.
+    /// Highest attempt of each task that was stopped or has ended on this runner.
     pub closed: BTreeMap<TaskId, Attempt>,
-    /// Ends up to this number were listed before its lease ran out: they are void, whoever acknowledges them.
+    /// Completions up to this number were listed before the lease expired, and are void whichever
+    /// instance acknowledges them.
     pub void: u64,
+    /// Difference of its clock from the time of the test, ms.
     offset: u64,
+    /// Number of the last completion.
     last: u64,
 }
 
 impl FakeRunner {
-    /// The runner number `i`, empty.
+    /// Creates runner number `i` without tasks.
     pub fn new(i: usize, room: Resources) -> Self {
         Self {
             id: format!("r{i}"),
@@ -112,22 +116,22 @@
         }
     }
 
-    /// Its own clock, ms.
+    /// Returns the runner's own time at time `now`, ms.
     pub fn clock(&self, now: u64) -> u64 {
         now + self.offset
     }
 
-    /// Room taken by what runs.
+    /// Returns the resources of the running tasks.
     pub fn used(&self) -> Resources {
         self.running.values().fold(Resources::ZERO, |sum, r| sum.add(&r.need))
     }
 
-    /// Its lease has run out.
+    /// Voids the completions listed so far, as the lease has expired.
     pub fn lapse(&mut self) {
         self.void = self.last;
     }
 
-    /// Ends a run and lists the end.
+    /// Ends a running task and lists its completion.
     pub fn end(&mut self, task: TaskId, kind: EndKind) {
         let Some(run) = self.running.remove(&task) else { return };
         self.last += 1;
--- a/tests/common/table.rs
+++ b/tests/common/table.rs
@@ -1,5 +1,5 @@
-//! The platform's store in memory: rows with versions, conditional transactions, a feed, and parts that
-//! are away.
+//! In-memory store for tests: versioned rows, conditional transactions, a change feed, and
+//! partitions that can be made unavailable.
 
 #![allow(dead_code)]
 
@@ -15,22 +15,22 @@
 struct State {
     rows: BTreeMap<Key, Row>,
     version: u64,
-    away: BTreeSet<String>,
+    unavailable: BTreeSet<String>,
 }
 
-/// The store.
+/// In-memory implementation of [`Store`].
 #[derive(Default)]
 pub struct Table {
     state: Mutex<State>,
 }
 
 impl Table {
-    /// Parts that answer no transaction from now on.
+    /// Makes exactly these partitions unavailable: transactions that write to them fail.
     pub fn lose(&self, parts: impl IntoIterator<Item = String>) {
-        self.state.lock().unwrap().away = parts.into_iter().collect();
+        self.state.lock().unwrap().unavailable = parts.into_iter().collect();
     }
 
-    /// Writes a row as another instance would; returns its version.
+    /// Writes a row without conditions, like another instance, and returns its version.
     pub fn put(&self, key: Key, value: Vec<u8>) -> u64 {
         let mut st = self.state.lock().unwrap();
         st.version += 1;
@@ -39,19 +39,20 @@
         version
     }
 
-    /// A row as it stands.
+    /// Returns the current row of a key.
     pub fn row(&self, key: &Key) -> Option<Row> {
         self.state.lock().unwrap().rows.get(key).cloned()
     }
 
+    /// Applies a transaction, or returns the current rows of its conditions if one does not hold.
     fn apply(&self, txn: &Txn) -> Result<Commit, CommitError> {
         let mut st = self.state.lock().unwrap();
         let written = txn.put.iter().map(|(k, _)| k).chain(&txn.remove);
-        if written.map(|k| &k.part).any(|p| st.away.contains(p)) {
-            return Err(CommitError::NotDone("the part is away".into()));
+        if written.map(|k| &k.part).any(|p| st.unavailable.contains(p)) {
+            return Err(CommitError::NotDone("the partition is unavailable".into()));
         }
-        let stands = |k: &Key| st.rows.get(k).map_or(0, |r| r.version);
-        if txn.expect.iter().any(|(k, v)| stands(k) != *v) {
+        let current = |k: &Key| st.rows.get(k).map_or(0, |r| r.version);
+        if txn.expect.iter().any(|(k, v)| current(k) != *v) {
             let found = txn.expect.iter().filter_map(|(k, _)| st.rows.get(k).cloned());
             return Ok(Commit::Conflict(found.collect()));
         }
@@ -64,6 +65,7 @@
         Ok(Commit::Done(version))
     }
 
+    /// Returns the rows of `table` written after version `after`; deletions are not included.
     fn changed(&self, table: &str, after: u64) -> Changes {
         let st = self.state.lock().unwrap();
         let mut rows: Vec<Row> = st.rows.values().cloned().collect();
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Promises of the brief under platform outages, lost answers, broken workers, cancellation
-//! waves, silent connections and leaving runners, on a cell in this process.
+//! Tests of a cell in this process under platform outages, lost answers, broken workers,
+//! cancellation waves, unresponsive connections and leaving runners.
 
 mod common;
 
@@ -7,6 +7,7 @@
 use currantgw::standin::faults::{Fault, FaultKind, Target};
 use currantgw::standin::instances::InstanceState;
 
+/// Starts a cell with the example catalogue and waits until it is ready.
 async fn ready_cell(entries: usize, runners: usize, racks: u32) -> TestCell {
     let c = TestCell::start(common::cell(entries, runners, racks)).await;
     c.ready().await;
@@ -14,23 +15,22 @@
     c
 }
 
-/// Symptom: during a table outage lookups fail, or a submission hangs until its deadline.
-/// Sequence: the table goes down; lookups and a submission arrive; the table comes back.
-/// Cause: a request path that needs the table. Lookups must be served from what the entry
-/// holds; the submission must be refused at once with Retry-After; placement resumes after.
+/// Guards against lookups that fail, or submissions that wait for their deadline, during a table
+/// outage. Lookups must not need the table, submissions must be refused at once with a retry delay,
+/// and placement must resume after the outage.
 #[async_std::test]
-async fn table_outage_keeps_lookups_and_refuses_submissions_at_once() {
+async fn table_outage_serves_lookups_and_refuses_submissions_at_once() {
     let c = ready_cell(1, 2, 1).await;
     let outage = Fault::now(Target::Table, FaultKind::Outage, 1500);
     c.platform.add_faults(vec![outage]);
     for i in 0..20 {
         let (status, _) = get(&format!("{}/lookup?key=k{i}", c.url(0))).await;
-        assert_eq!(status, 200, "lookups go on during the outage");
+        assert_eq!(status, 200, "lookups are served during the outage");
     }
     let (status, body) =
         post(&format!("{}/jobs", c.url(0)), &job("cronometria/splits", 2, 50, "during")).await;
     assert_eq!(status, 503, "{body}");
-    assert!(body["retry_ms"].as_u64().is_some(), "says when to come back");
+    assert!(body["retry_ms"].as_u64().is_some(), "the answer has a retry delay");
     let (status, body) =
         post(&format!("{}/jobs", c.url(0)), &job("cronometria/splits", 2, 50, "after")).await;
     let accepted = status == 200 || {
@@ -47,12 +47,11 @@
     c.stop().await;
 }
 
-/// Symptom: a job submitted once appears twice, or its tasks run twice.
-/// Sequence: every table answer is lost after the write took effect; a submission is retried
-/// by the entry with the same idempotency key.
-/// Cause: retries treated as new work. The replay must return the first outcome.
+/// Guards against a second job, or tasks that run twice, after a retried submission. The table's
+/// answers are lost after the writes took effect, and the entry retries with the same idempotency
+/// key. The retry must return the first outcome.
 #[async_std::test]
-async fn lost_answers_on_submission_make_one_job() {
+async fn lost_answers_to_a_submission_make_one_job() {
     let c = ready_cell(1, 1, 1).await;
     let lose = Fault::now(Target::Table, FaultKind::LoseAnswer, 150);
     c.platform.add_faults(vec![lose]);
@@ -61,7 +60,7 @@
     assert!(status == 200 || status == 503, "{status} {body}");
     let url = format!("{}/jobs/{}", c.url(0), currantgw::entry::jobs::job_id("lost-1"));
     if status == 503 {
-        // The entry gave up on its tries: the client retries with the same key.
+        // All attempts of the entry failed; the client retries with the same key.
         let ok = eventually(100, || async {
             post(&format!("{}/jobs", c.url(0)), &job("cronometria/splits", 3, 50, "lost-1")).await.0
                 == 200
@@ -75,12 +74,12 @@
     c.stop().await;
 }
 
-/// Symptom: a cancelled job's tasks start after the cancellation was accepted.
-/// Sequence: 1,000 jobs are submitted and, while they are being placed, all are cancelled.
-/// Cause: a placement committed over a cancellation, or a start sent after it. The placement
-/// transaction is conditional on the job's version and the worker checks the placement row.
+/// Guards against tasks that start after the cancellation of their job was accepted. 1,000 jobs are
+/// cancelled while they are being placed. A placement must not be committed over a cancellation,
+/// which the condition on the job's version prevents, and a start sent after it must be refused by
+/// the worker, which checks the placement row.
 #[async_std::test]
-async fn cancellation_wave_starts_nothing_cancelled() {
+async fn no_task_starts_after_its_cancellation() {
     let mut cell = common::cell(1, 1, 2);
     cell.platform.writes = 10_000;
     let c = TestCell::start(cell).await;
@@ -97,7 +96,7 @@
         assert!(futures::future::join_all(posts).await.iter().all(|&s| s == 200));
     }
     let placing = eventually(100, || async { c.platform.stats().started > 0 }).await;
-    assert!(placing, "the wave comes while jobs are being placed");
+    assert!(placing, "the cancellations arrive while jobs are being placed");
     for page in keys.chunks(50) {
         let cancels = page.iter().map(|k| {
             let id = currantgw::entry::jobs::job_id(k);
@@ -109,9 +108,9 @@
         }
     }
     let started_after_cancel = c.platform.stats().started;
-    let quiet = eventually(40, || async { c.platform.stats().running == 0 }).await;
-    assert!(quiet, "cancelled tasks were stopped: {:?}", c.platform.stats());
-    // Rounds go on; nothing more may start.
+    let all_stopped = eventually(40, || async { c.platform.stats().running == 0 }).await;
+    assert!(all_stopped, "cancelled tasks were stopped: {:?}", c.platform.stats());
+    // No task may start in later rounds.
     async_std::task::sleep(std::time::Duration::from_millis(300)).await;
     assert_eq!(c.platform.stats().started, started_after_cancel);
     for k in &keys {
@@ -121,11 +120,10 @@
     c.stop().await;
 }
 
-/// Symptom: jobs keep failing because they keep landing on a worker that fails everything.
-/// Sequence: one worker is broken; short jobs are submitted.
-/// Cause: no memory of failures. Failed tasks are retried elsewhere and the worker avoided.
+/// Guards against jobs that fail because their tasks are placed again and again on a broken worker.
+/// Failed tasks must be retried on other workers, and the broken worker avoided.
 #[async_std::test]
-async fn broken_worker_is_avoided_and_tasks_move() {
+async fn broken_worker_is_avoided_and_its_tasks_move() {
     let c = ready_cell(1, 1, 1).await;
     let broken = Fault::now(Target::Workers, FaultKind::Broken { worker: "a-r0-w0".into() }, 0);
     c.platform.add_faults(vec![broken]);
@@ -140,34 +138,32 @@
         let url = format!("{}/jobs/{}", c.url(0), currantgw::entry::jobs::job_id(k));
         let ok = eventually(200, || async { get(&url).await.1["state"] == "finished" }).await;
         assert!(ok, "{}", get(&url).await.1);
-        assert_eq!(get(&url).await.1["failed"], 0, "every task ended well in the end");
+        assert_eq!(get(&url).await.1["failed"], 0, "every task finished successfully in the end");
     }
     c.stop().await;
 }
 
-/// Symptom: lookups time out for good on a connection that is open but carries nothing.
-/// Sequence: every open connection of the runner goes silent; lookups go on.
-/// Cause: trusting an open connection. Pings past idle_ms must drop it; a new one works.
+/// Guards against lookups that time out permanently on a connection that is open but carries no
+/// data. Connections without a frame for `idle_ms` must be closed and replaced.
 #[async_std::test]
-async fn silent_connection_is_dropped_and_replaced() {
+async fn unresponsive_connection_is_closed_and_replaced() {
     let c = ready_cell(1, 1, 1).await;
     c.runners[0].silence();
     let pool = &c.entries[0].pool;
-    let dropped = eventually(100, || async {
+    let closed = eventually(100, || async {
         pool.counts.silent.load(std::sync::atomic::Ordering::Relaxed) > 0
     })
     .await;
-    assert!(dropped, "the silent connection was not dropped");
+    assert!(closed, "the unresponsive connection was not closed");
     let served =
         eventually(100, || async { get(&format!("{}/lookup?key=after", c.url(0))).await.0 == 200 })
             .await;
-    assert!(served, "lookups go over a fresh connection");
+    assert!(served, "lookups use a new connection");
     c.stop().await;
 }
 
-/// Symptom: a runner being taken out keeps receiving new lookups.
-/// Sequence: the runner is marked leaving in the lagging instance list; lookups go on.
-/// Cause: routing that ignores the list. After the lag and one read, it gets nothing new.
+/// Guards against new lookups to a runner that is taken out of service. Once the entry has read the
+/// runner as leaving from the instance list, which lags, the runner must get no new lookup.
 #[async_std::test]
 async fn leaving_runner_gets_no_new_lookups() {
     let c = ready_cell(1, 2, 1).await;
@@ -184,13 +180,11 @@
     c.stop().await;
 }
 
-/// Symptom: a failure domain cut off from the platform stops serving, or its tasks die.
-/// Sequence: calls of domain `a` to every interface of the platform fail, those of others do
-/// not; lookups, a write and a submission arrive in `a`; the cut heals.
-/// Cause: request paths that need the platform. Lookups must go on, what needs the table must be
-/// refused at once as not run, and after the cut work goes on, nothing doubled.
+/// Guards against a failure domain that stops serving, or whose tasks die, while only this domain
+/// cannot reach the platform. Lookups must be served, and a request that needs the table must be
+/// refused at once as not run. After the fault, writes and jobs must run, each once.
 #[async_std::test]
-async fn domain_cut_off_from_the_platform_serves_lookups_and_heals() {
+async fn domain_without_platform_access_serves_lookups_and_recovers() {
     let c = ready_cell(2, 2, 1).await;
     let cut =
         |target| Fault { from: Some("a".into()), ..Fault::now(target, FaultKind::Outage, 6_000) };
@@ -201,11 +195,11 @@
     let write = serde_json::json!({ "id": "cut-write", "body": "x" });
     let (status, body) = post(&format!("{}/write", c.url(0)), &write).await;
     assert_eq!((status, body["error"].as_str()), (503, Some("unavailable")), "{body}");
-    assert!(body["retry_ms"].as_u64() > Some(0), "says when to come back");
+    assert!(body["retry_ms"].as_u64() > Some(0), "the answer has a retry delay");
     let url = format!("{}/write", c.url(1));
     assert!(eventually(190, || async { post(&url, &write).await.0 == 200 }).await);
     let ran: u64 = c.runners.iter().filter_map(|r| r.executions().get("cut-write").copied()).sum();
-    assert_eq!(ran, 1, "refused while cut off, run once after");
+    assert_eq!(ran, 1, "refused during the fault, run once after it");
     let jobs = format!("{}/jobs", c.url(1));
     let j = job("cronometria/splits", 2, 50, "healed");
     assert!(eventually(100, || async { post(&jobs, &j).await.0 == 200 }).await);
@@ -215,9 +209,9 @@
     c.stop().await;
 }
 
-/// Symptom: an instance replaced while the platform is away serves nothing until it is back.
-/// Sequence: table and workers are down; an entry starts; lookups arrive; the platform returns.
-/// Cause: a start that waits for the worker list or the catalogue. Lookups need neither.
+/// Guards against an entry that serves no lookups because it starts while the platform is
+/// unavailable. Its start must not wait for the worker list or the catalogue, which lookups do not
+/// need.
 #[async_std::test]
 async fn entry_started_during_an_outage_serves_lookups_at_once() {
     let mut cell = common::cell(2, 1, 1);
@@ -235,7 +229,7 @@
         post(&format!("{}/jobs", c.url(i)), &job("cronometria/splits", 1, 50, "early")).await;
     assert_eq!((status, body["error"].as_str()), (503, Some("unavailable")), "{body}");
     let (_, cat) = get(&format!("{}/catalogue", c.url(i))).await;
-    assert_eq!(cat["version"], 0, "nothing was made up");
+    assert_eq!(cat["version"], 0, "no catalogue without the table");
     c.ready().await;
     let caught_up = eventually(100, || async {
         get(&format!("{}/catalogue", c.url(i))).await.1["version"] == 1
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -1,5 +1,6 @@
-//! Leases, fencing epochs and idempotency keys in the table and on the workers, on a manual
-//! clock: the mechanism that keeps a paused holder from placing or starting anything.
+//! Tests of leases, fencing epochs and idempotency keys in the table and on the workers, on a
+//! manual clock. Together they prevent a paused holder from placing or starting tasks after its
+//! lease expired.
 
 use currantgw::kernel::clock::Clock;
 use currantgw::kernel::res::Resources;
@@ -10,6 +11,7 @@
 use currantgw::standin::{place_key, PlaceRow, Platform};
 use serde_json::json;
 
+/// A platform with one domain `a`, one rack and two workers.
 fn platform(clock: &Clock) -> Platform {
     let settings = PlatformSettings {
         listen: "127.0.0.1:1".parse().unwrap(),
@@ -28,25 +30,28 @@
     Platform::new(settings, &[], clock.clone())
 }
 
-fn acquire(p: &Platform, who: &str) -> Option<u64> {
-    let op = Op::Acquire { key: "shard/a-r0".into(), holder: who.into(), ttl_ms: 1000 };
+/// Acquires the lease of shard `a-r0`; returns its epoch, or none if it is held.
+fn acquire(p: &Platform, holder_id: &str) -> Option<u64> {
+    let op = Op::Acquire { key: "shard/a-r0".into(), holder: holder_id.into(), ttl_ms: 1000 };
     match p.txn(&Txn { conds: vec![], ops: vec![op], idem: None }).unwrap() {
         Outcome::Committed { epochs, .. } => Some(epochs[0]),
         Outcome::Conflict { .. } => None,
     }
 }
 
-fn place(p: &Platform, who: &str, epoch: u64, worker: &str) -> Outcome {
+/// Commits the placement of task `j1.0` on `worker` under the lease.
+fn place(p: &Platform, holder_id: &str, epoch: u64, worker: &str) -> Outcome {
     let demand = Resources { cpu: 1000, mem: 1024, acc: 0 };
     let row = PlaceRow { worker: worker.into(), epoch, attempt: 1, demand };
     let txn = Txn {
-        conds: vec![Cond::Lease { key: "shard/a-r0".into(), holder: who.into(), epoch }],
+        conds: vec![Cond::Lease { key: "shard/a-r0".into(), holder: holder_id.into(), epoch }],
         ops: vec![Op::Put { key: place_key("a-r0", "j1.0"), value: row.value() }],
         idem: None,
     };
     p.txn(&txn).unwrap()
 }
 
+/// The order to start task `j1.0` on `worker`.
 fn start(worker: &str, epoch: u64) -> StartReq {
     StartReq {
         task: "j1.0".into(),
@@ -62,14 +67,12 @@
     }
 }
 
-/// Symptom: a split recomputation runs on two workers at once.
-/// Sequence: holder A places the task under epoch 1 and pauses before starting it; its lease
-/// expires; B takes the shard (epoch 2), places and starts the task elsewhere; A wakes and
-/// tries to commit and start under epoch 1.
-/// Cause: a holder that trusts a lease it no longer has. The table's lease condition and the
-/// worker's epoch check must both refuse A.
+/// Guards against a task that runs on two workers because a holder uses an expired lease. Holder A
+/// places the task under epoch 1 and pauses before the start. Its lease expires, and B acquires the
+/// shard (epoch 2), places the task elsewhere and starts it. When A resumes, the lease condition in
+/// the table and the epoch check of the worker must both refuse its commit and its start.
 #[test]
-fn paused_holder_waking_after_expiry_is_fenced_out() {
+fn holder_resuming_after_lease_expiry_is_fenced() {
     let clock = Clock::manual();
     let p = platform(&clock);
     assert_eq!(acquire(&p, "A"), Some(1));
@@ -79,7 +82,7 @@
     assert_eq!(acquire(&p, "B"), Some(2));
     assert!(matches!(place(&p, "B", 2, "a-r0-w1"), Outcome::Committed { .. }));
     assert_eq!(p.start(&[start("a-r0-w1", 2)])[0].refused, None);
-    // A wakes.
+    // A resumes.
     assert!(matches!(place(&p, "A", 1, "a-r0-w0"), Outcome::Conflict { index: 0, .. }));
     assert_eq!(p.start(&[start("a-r0-w0", 1)])[0].refused, Some(StartRefusal::StaleEpoch));
     let stats = p.stats();
@@ -87,9 +90,8 @@
     assert_eq!(stats.double_runs, 0);
 }
 
-/// Symptom: a task refused or cancelled starts anyway.
-/// Sequence: the placement row is withdrawn; a start for it arrives with a current epoch.
-/// Cause: a worker that starts whatever it is asked. It must check the placement first.
+/// Guards against the start of a refused or cancelled task. A start order with a current epoch can
+/// arrive without a placement row for that worker, so the worker must check the row first.
 #[test]
 fn worker_refuses_a_task_without_placement() {
     let clock = Clock::manual();
@@ -107,12 +109,11 @@
     assert_eq!(p.stats().double_runs, 0);
 }
 
-/// Symptom: a task runs in two places after its worker was cut off and came back.
-/// Sequence: a start order is held up on the way; its worker is given up for lost; the order
-/// arrives (found by the model spec/place.pml, variant NOEXPIRY).
-/// Cause: an order that stays good for ever. It must be refused once it has expired.
+/// Guards against a task that runs in two places because a start order is delayed. It arrives after
+/// its worker was considered lost and the task was placed elsewhere (found by the model
+/// spec/place.pml, variant NOEXPIRY). A worker must refuse an expired order.
 #[test]
-fn order_held_up_on_the_way_starts_nothing() {
+fn delayed_start_order_is_refused() {
     let clock = Clock::manual();
     let p = platform(&clock);
     let epoch = acquire(&p, "A").unwrap();
@@ -120,18 +121,17 @@
     let order = StartReq { by: clock.now() + 500, ..start("a-r0-w0", epoch) };
     clock.advance(501);
     assert_eq!(p.start(std::slice::from_ref(&order))[0].refused, Some(StartRefusal::Late));
-    let fresh = StartReq { by: clock.now() + 400, ..order };
-    assert_eq!(p.start(&[fresh])[0].refused, None);
+    let fresh_order = StartReq { by: clock.now() + 400, ..order };
+    assert_eq!(p.start(&[fresh_order])[0].refused, None);
 }
 
-/// Symptom: an end reported by the workers is lost with the holder that read it, or one shard's
-/// old end is taken for a new one.
-/// Sequence: a task ends; the holder that was told dies before committing; the next holder polls;
-/// the task is started again as the next attempt on the same worker.
-/// Cause: forgetting on delivery, or ends without their attempt. Ends must be told again until
-/// acknowledged, under a current epoch only, and name the attempt.
+/// Guards against a completion that is lost with the holder that read it, and against one of an
+/// earlier attempt that is applied to a later one. A holder can fail after it was sent a completion
+/// and before it commits it, and the next holder can start the next attempt on the same worker.
+/// Workers must therefore report a completion until it is acknowledged under a current epoch, and
+/// the completion must contain the attempt.
 #[test]
-fn ends_are_told_again_until_acknowledged_and_name_their_attempt() {
+fn completions_are_reported_until_acknowledged_with_their_attempt() {
     let clock = Clock::manual();
     let p = platform(&clock);
     let poll = |epoch, acked| {
@@ -142,12 +142,12 @@
     place(&p, "A", e1, "a-r0-w0");
     assert_eq!(p.start(&[start("a-r0-w0", e1)])[0].refused, None);
     p.stop(&[StopReq { task: "j1.0".into(), attempt: 1, worker: "a-r0-w0".into() }]);
-    let told = poll(e1, 0).ended;
-    assert_eq!((told.len(), told[0].attempt, told[0].how), (1, 1, How::Stopped));
+    let reported = poll(e1, 0).ended;
+    assert_eq!((reported.len(), reported[0].attempt, reported[0].how), (1, 1, How::Stopped));
     clock.advance(1500);
     let e2 = acquire(&p, "B").unwrap();
-    assert!(poll(e1, told[0].seq).stale, "an old holder acknowledges nothing");
-    assert_eq!(poll(e2, 0).ended, told, "told again");
+    assert!(poll(e1, reported[0].seq).stale, "a superseded holder cannot acknowledge");
+    assert_eq!(poll(e2, 0).ended, reported, "reported again");
     assert_eq!(
         p.start(&[StartReq { epoch: e2, ..start("a-r0-w0", e2) }])[0].refused,
         Some(StartRefusal::NotPlaced),
@@ -159,13 +159,12 @@
         Some(StartRefusal::AlreadyEnded),
         "attempt 1 never starts twice"
     );
-    assert!(poll(e2, told[0].seq).ended.is_empty(), "forgotten once acknowledged");
+    assert!(poll(e2, reported[0].seq).ended.is_empty(), "not reported after the acknowledgement");
 }
 
-/// Symptom: a submission retried after a lost answer makes two jobs.
-/// Sequence: a transaction with an idempotency key commits; its answer is lost; the client
-/// sends it again.
-/// Cause: a retry treated as new work. The recorded outcome must come back, nothing re-applied.
+/// Guards against two jobs from one submission. The answer to a committed transaction is lost, and
+/// the client sends it again with the same idempotency key. The recorded outcome must be returned,
+/// and the transaction not applied again.
 #[test]
 fn retry_with_same_idempotency_key_applies_once() {
     let clock = Clock::manual();
@@ -185,9 +184,8 @@
     assert_eq!(p.get(&["job/j1".into()]).unwrap()["job/j1"].version, 1);
 }
 
-/// Symptom: the table is flooded past its budget and every caller slows down.
-/// Sequence: more writes in one second than the budget allows.
-/// Cause: no budget. The excess must be refused at once with when to come back.
+/// Guards against an overloaded table that slows down all callers. Writes beyond the budget of a
+/// second must be refused at once, with the time after which a retry succeeds.
 #[test]
 fn budget_refuses_excess_with_retry_time() {
     let clock = Clock::manual();
@@ -203,17 +201,16 @@
     assert!(p.txn(&Txn { conds: vec![], ops: vec![op], idem: None }).is_ok());
 }
 
-/// Symptom: a test that waits on the manual clock hangs, or wakes early.
-/// Sequence: a sleep of 100 ms is polled, the clock is advanced by 50 twice.
-/// Cause: a sleeper woken by the wrong advance. It must be pending after 50 and ready at 100.
+/// Guards against tests on the manual clock that hang or wake up early. A sleep of 100 ms must be
+/// pending after an advance of 50 ms and ready after 100 ms.
 #[async_std::test]
 async fn manual_clock_sleeps_until_advanced() {
     let clock = Clock::manual();
-    let mut nap = Box::pin(clock.sleep(100));
-    assert!(futures::poll!(&mut nap).is_pending());
+    let mut sleep = Box::pin(clock.sleep(100));
+    assert!(futures::poll!(&mut sleep).is_pending());
     clock.advance(50);
-    assert!(futures::poll!(&mut nap).is_pending());
+    assert!(futures::poll!(&mut sleep).is_pending());
     clock.advance(50);
-    assert!(futures::poll!(&mut nap).is_ready());
+    assert!(futures::poll!(&mut sleep).is_ready());
     assert_eq!(clock.now(), 100);
 }
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Fuzzing with proptest of everything that reads bytes from outside: frames, catalogue edits,
-//! fault plans, settings, and the table's transactions. Bad input is a typed error, never a
-//! panic, and good input survives the way there and back.
+//! Property tests of all parsers of external input: frames, catalogue edits, fault plans, settings
+//! and the table's transactions. Invalid input must lead to a typed error, never a panic, and valid
+//! frames must survive a round trip.
 
 use currantgw::entry::catalogue::{Catalogue, Edit};
 use currantgw::options;
@@ -10,6 +10,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
+/// Any frame, with texts of up to 40 printable characters.
 fn frame() -> impl Strategy<Value = Frame> {
     let text = "[ -~]{0,40}";
     prop_oneof![
@@ -30,8 +31,8 @@
     ]
 }
 
-/// An edit as JSON with one thing in it replaced by noise.
-fn bent_edit() -> impl Strategy<Value = String> {
+/// The example edit as JSON, with a part of up to 59 characters replaced by random text.
+fn damaged_edit() -> impl Strategy<Value = String> {
     let whole = include_str!("../examples/catalogue.json");
     (0..whole.len(), 0..60usize, "[ -~]{0,12}").prop_map(move |(at, len, noise)| {
         let end = (at + len).min(whole.len());
@@ -39,7 +40,7 @@
     })
 }
 
-/// A transaction over few keys, so that conditions meet rows.
+/// A transaction over four keys, so that conditions often refer to stored rows.
 fn txn() -> impl Strategy<Value = Txn> {
     let key = || (0u8..4).prop_map(|k| format!("k{k}"));
     let cond = (key(), 0u64..4).prop_map(|(key, version)| Cond::Version { key, version });
@@ -55,27 +56,29 @@
     #![proptest_config(ProptestConfig { cases: 4_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_survive_the_wire(f in frame()) {
+    fn frames_survive_a_round_trip(f in frame()) {
         prop_assert_eq!(wire::decode(&wire::encode(f.clone())), Ok(f));
     }
 
     #[test]
-    fn noise_is_no_frame_and_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = wire::decode(&bytes);
     }
 
-    /// A frame cut short or with a byte changed decodes to an error or to some frame, and a
-    /// frame of another version is refused whatever it holds.
+    /// A truncated frame is a decoding error, and a frame with a changed byte decodes to an error
+    /// or to some frame.
     #[test]
     fn damaged_frames_are_typed_errors(f in frame(), at in any::<prop::sample::Index>(), b in any::<u8>()) {
         let whole = wire::encode(f);
         let cut = at.index(whole.len());
         prop_assert!(matches!(wire::decode(&whole[..cut]), Err(FrameError::Decode(_))));
-        let mut bent = whole.clone();
-        bent[cut] = b;
-        let _ = wire::decode(&bent);
+        let mut changed = whole.clone();
+        changed[cut] = b;
+        let _ = wire::decode(&changed);
     }
 
+    /// A frame of another version is refused whatever it contains, and so is a frame without a
+    /// field that its kind requires.
     #[test]
     fn other_versions_and_missing_fields_are_refused(v in 2u16.., id in any::<u64>()) {
         let bare = |v, kind| WireFrame { v, kind, id, key: None, body: None, n: None };
@@ -85,9 +88,9 @@
         prop_assert_eq!(Frame::try_from(bare(1, kind)), Err(missing));
     }
 
-    /// A bent edit is refused by the parser or by the check, or is a sound edit.
+    /// A damaged edit is refused by the parser or by the check, or is valid.
     #[test]
-    fn bent_edits_never_pass_the_check_unsound(text in bent_edit()) {
+    fn invalid_edits_never_pass_the_check(text in damaged_edit()) {
         if let Ok(edit) = serde_json::from_str::<Edit>(&text) {
             if edit.check().is_ok() {
                 prop_assert!(edit.entries.iter().all(|e| e.limits.cpu > 0 && e.limits.fits(&e.quota)));
@@ -99,34 +102,34 @@
     }
 
     #[test]
-    fn noise_is_no_plan_and_no_settings(text in "[ -~]{0,120}") {
+    fn random_text_is_no_fault_plan_and_no_settings(text in "[ -~]{0,120}") {
         let _ = serde_json::from_str::<Vec<Fault>>(&text);
         prop_assert!(options::parse(&text).is_err());
     }
 
-    /// A feed followed from any revision shows what a scan shows, whatever transactions came
-    /// between, refused ones included.
+    /// The rows collected from the feed equal those of a scan after any sequence of transactions,
+    /// including refused ones.
     #[test]
-    fn feeds_tell_what_scans_tell(txns in prop::collection::vec(txn(), 1..30), every in 1usize..6) {
+    fn feed_matches_scan(txns in prop::collection::vec(txn(), 1..30), every in 1usize..6) {
         let mut t = Table::new(1_000_000, 1_000_000);
-        let mut seen: BTreeMap<String, serde_json::Value> = BTreeMap::new();
+        let mut collected: BTreeMap<String, serde_json::Value> = BTreeMap::new();
         let mut since = 0;
         for (i, txn) in txns.iter().enumerate() {
             let before = t.scan("k", 0).unwrap();
             if let Outcome::Conflict { .. } = t.apply(txn, 0).unwrap() {
-                prop_assert_eq!(&t.scan("k", 0).unwrap(), &before, "a refused one changes nothing");
+                prop_assert_eq!(&t.scan("k", 0).unwrap(), &before, "a refusal changes nothing");
             }
             if i % every == 0 {
                 let feed = t.feed("k", since, 0).unwrap();
                 since = feed.revision;
                 if feed.reset {
-                    seen.clear();
+                    collected.clear();
                 }
-                seen.extend(feed.rows.into_iter().map(|(k, r)| (k, r.value)));
-                feed.gone.iter().for_each(|k| drop(seen.remove(k)));
+                collected.extend(feed.rows.into_iter().map(|(k, r)| (k, r.value)));
+                feed.gone.iter().for_each(|k| drop(collected.remove(k)));
                 let now = t.scan("k", 0).unwrap();
                 let now: BTreeMap<_, _> = now.into_iter().map(|(k, r)| (k, r.value)).collect();
-                prop_assert_eq!(&seen, &now);
+                prop_assert_eq!(&collected, &now);
             }
         }
     }
