--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -223,7 +223,7 @@
     let key = rows::job_key(&row.id);
     let index_key = match row.ended() {
         true => rows::done_key(a.domain, &row.shard, row.submitted, &row.id),
-        false => rows::pend_key(a.domain, &row.shard, &row.id),
+        false => rows::pending_key(a.domain, &row.shard, &row.id),
     };
     let txn = Txn {
         conds: vec![Cond::Version { key: key.clone(), version: 0 }],
@@ -289,7 +289,7 @@
         }
         let (mut ops, stops) = withdraw(&mut row);
         let domain = row.domain().to_string();
-        let index_key = rows::pend_key(&domain, &row.shard, id);
+        let index_key = rows::pending_key(&domain, &row.shard, id);
         ops.push(match stops.is_empty() {
             true => Op::Delete { key: index_key },
             false => rows::put_marker(index_key),
--- a/src/entry/loops.rs
+++ b/src/entry/loops.rs
@@ -52,7 +52,7 @@
                     }
                     log::debug!("domain {} has no workers yet", self.addr.domain);
                 }
-                Err(e) => log::debug!("worker list: {e}"),
+                Err(e) => log::debug!("cannot read the worker list: {e}"),
             }
             if !self.sleep_unless_stopped(WORKER_LIST_RETRY_MS).await {
                 return None;
@@ -105,7 +105,7 @@
             if now >= last_sweep + self.timing.sweep_ms {
                 last_sweep = now;
                 if let Err(e) = self.sweep(now).await {
-                    log::debug!("sweep failed: {e}");
+                    log::debug!("garbage collection failed: {e}");
                 }
             }
             if !self.sleep_unless_stopped(self.timing.round_ms * round_factor(s.activity())).await {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -186,7 +186,7 @@
             Ok(true) => self.install_catalogue(cat),
             Ok(false) => self.catalogue(),
             Err(e) => {
-                log::debug!("catalogue watch: {e}");
+                log::debug!("catalogue update failed: {e}");
                 self.catalogue()
             }
         }
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -258,13 +258,13 @@
 }
 
 /// Prefix of the pending-job entries of a failure domain.
-pub fn pend_prefix(domain: &str) -> String {
+pub fn pending_prefix(domain: &str) -> String {
     format!("pend/{domain}/")
 }
 
 /// Key of a pending-job entry.
-pub fn pend_key(domain: &str, shard: &str, id: &str) -> String {
-    format!("{}{shard}/{id}", pend_prefix(domain))
+pub fn pending_key(domain: &str, shard: &str, id: &str) -> String {
+    format!("{}{shard}/{id}", pending_prefix(domain))
 }
 
 /// Prefix of the quota rows of a failure domain.
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -92,7 +92,7 @@
             None => Op::Delete { key: place_key(shard, task) },
         }));
         ops.extend(plan.marks.iter().map(|((shard, id), set)| {
-            let key = rows::pend_key(cx.domain, shard, id);
+            let key = rows::pending_key(cx.domain, shard, id);
             match set {
                 true => rows::put_marker(key),
                 false => Op::Delete { key },
--- a/src/entry/sched/load.rs
+++ b/src/entry/sched/load.rs
@@ -80,7 +80,7 @@
     /// Updates the pending-job entries of the domain from the table's feed, which returns only the
     /// changes since the last call.
     pub(super) async fn follow_pending(&mut self, cx: &Ctx<'_>) -> Result<(), PlatformError> {
-        let prefix = rows::pend_prefix(cx.domain);
+        let prefix = rows::pending_prefix(cx.domain);
         let feed = cx.platform.feed(&prefix, self.revision).await?;
         self.revision = feed.revision;
         if feed.reset {
--- a/src/entry/sched/spill.rs
+++ b/src/entry/sched/spill.rs
@@ -63,7 +63,7 @@
 /// Returns whether `row` fits into `room`: all tasks of a gang, one task of any other job.
 fn row_fits(room: &RackRoom, row: &JobRow) -> bool {
     let demand = &row.spec.demand;
-    let gang_fits =
+    let whole_gang_fits =
         row.class != Class::Gang || demand.times(row.tasks.len() as u64).fits(&room.free);
-    gang_fits && demand.fits(&room.largest)
+    whole_gang_fits && demand.fits(&room.largest)
 }
