--- a/src/runner/conn.rs
+++ b/src/runner/conn.rs
@@ -1,4 +1,5 @@
-//! One websocket connection of a runner: read frames, answer pings, hand requests to slots.
+//! One websocket connection of a runner: reads frames, answers pings and queues requests for the
+//! runner's slots. A bounded queue and "busy" answers limit the requests that wait.
 
 use super::{Runner, WriteState};
 use crate::kernel::stop::Stop;
@@ -10,21 +11,21 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Requests that may wait for a slot, per slot, before new ones are answered busy.
+/// Requests waiting for a slot, per slot, above which new ones are answered busy.
 const QUEUE_PER_SLOT: usize = 16;
 
-/// How long a busy answer asks the caller to stay away, ms.
+/// Retry delay sent in a busy answer, ms.
 const BUSY_RETRY_MS: u64 = 50;
 
-/// Handles of finished requests are dropped once this many are held.
+/// Number of task handles above which those of finished requests are dropped.
 const PRUNE_AT: usize = 256;
 
 /// Poll interval while draining, ms.
 const DRAIN_POLL_MS: u64 = 20;
 
 impl Runner {
-    fn silent(&self, gen: u64) -> bool {
-        gen <= self.silent_upto.load(Ordering::SeqCst)
+    fn is_silenced(&self, gen: u64) -> bool {
+        gen <= self.silenced_upto.load(Ordering::SeqCst)
     }
 
     async fn handle(self: Arc<Self>, frame: Frame, tx: channel::Sender<Frame>) {
@@ -38,49 +39,51 @@
             Frame::Write { id, write, body: _ } => self.execute(id, write).await,
             _ => return,
         };
-        if !self.loses() {
+        if !self.lose_next_answer() {
             let _ = tx.send(answer).await;
         }
     }
 
-    /// Executes a write and tells whoever asked about it meanwhile.
+    /// Executes a write and answers the queries for it that arrived meanwhile.
     async fn execute(&self, id: u64, write: String) -> Frame {
-        let (runs, asked) = {
+        let (runs, queries) = {
             let mut writes = self.writes.lock().unwrap();
-            let (runs, asked) = match writes.remove(&write) {
+            let (runs, queries) = match writes.remove(&write) {
                 Some(WriteState::Ran(n)) => (n + 1, Vec::new()),
-                Some(WriteState::Taken(asked)) => (1, asked),
+                Some(WriteState::Accepted(queries)) => (1, queries),
                 Some(WriteState::Refused) | None => (1, Vec::new()),
             };
             writes.insert(write.clone(), WriteState::Ran(runs));
-            (runs, asked)
+            (runs, queries)
         };
-        for (id, tx) in asked {
+        for (id, tx) in queries {
             let _ = tx.send(Frame::Done { id, write: write.clone(), runs }).await;
         }
         Frame::Done { id, write, runs }
     }
 
-    /// Decides whether a request is taken: a write's first frame decides for good, so that
-    /// whoever was told "busy" may send it elsewhere and it still runs at most once.
-    fn takes(&self, frame: &Frame, stopping: bool) -> bool {
+    /// Whether to accept a request. For a write id the first decision is permanent, so that a
+    /// caller that got a busy answer can send the write to another runner and it still runs at
+    /// most once.
+    fn accepts(&self, frame: &Frame, stopping: bool) -> bool {
         let full = self.queued.load(Ordering::SeqCst) >= self.knobs.slots as usize * QUEUE_PER_SLOT;
         let open = !stopping && !full;
         let Frame::Write { write, .. } = frame else { return open };
         let mut writes = self.writes.lock().unwrap();
-        let fate = || if open { WriteState::Taken(Vec::new()) } else { WriteState::Refused };
-        !matches!(writes.entry(write.clone()).or_insert_with(fate), WriteState::Refused)
+        let decision = || if open { WriteState::Accepted(Vec::new()) } else { WriteState::Refused };
+        !matches!(writes.entry(write.clone()).or_insert_with(decision), WriteState::Refused)
     }
 
-    /// Answers a query: the outcome, now or when it is known, or "busy", which then holds.
+    /// Answers a query for a write: with the outcome once the write has run, or with busy if it is
+    /// unknown or refused; it is then never executed here.
     async fn answer_query(&self, id: u64, write: String, tx: &channel::Sender<Frame>) {
         let answer = {
             let mut writes = self.writes.lock().unwrap();
             match writes.entry(write.clone()).or_insert(WriteState::Refused) {
                 WriteState::Ran(runs) => Frame::Done { id, write, runs: *runs },
                 WriteState::Refused => Frame::Busy { id, retry_ms: BUSY_RETRY_MS },
-                WriteState::Taken(asked) => {
-                    asked.push((id, tx.clone()));
+                WriteState::Accepted(queries) => {
+                    queries.push((id, tx.clone()));
                     return;
                 }
             }
@@ -88,12 +91,12 @@
         let _ = tx.send(answer).await;
     }
 
-    /// Waits for a slot, serves `frame`, frees the slot.
-    async fn slotted(
+    /// Waits for a slot, handles `frame` and frees the slot.
+    async fn run_in_slot(
         self: Arc<Self>,
         frame: Frame,
         tx: channel::Sender<Frame>,
-        mine: Arc<AtomicUsize>,
+        pending: Arc<AtomicUsize>,
     ) {
         let slot = self.slots.recv().await;
         self.queued.fetch_sub(1, Ordering::SeqCst);
@@ -103,7 +106,7 @@
         if slot.is_ok() {
             let _ = self.slot_tx.send(()).await;
         }
-        mine.fetch_sub(1, Ordering::SeqCst);
+        pending.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -116,8 +119,9 @@
     }
 }
 
-/// Serves one connection until the peer closes it, or until `stop` and its requests in flight
-/// have been answered. A request arriving after `stop` is answered busy: it did not run.
+/// Serves one connection until the remote side closes it, or until `stop` has fired and the
+/// requests in flight are answered. A request that arrives after `stop` is answered busy and does
+/// not run.
 pub async fn serve(r: Arc<Runner>, stream: TcpStream, gen: u64, stop: Stop) {
     let Ok(ws) = async_tungstenite::accept_async(stream).await else { return };
     r.open.fetch_add(1, Ordering::SeqCst);
@@ -127,7 +131,7 @@
         let r = r.clone();
         async_std::task::spawn(async move {
             while let Ok(f) = rx.recv().await {
-                if r.silent(gen) {
+                if r.is_silenced(gen) {
                     continue;
                 }
                 if sink.send(Message::binary(wire::encode(f))).await.is_err() {
@@ -138,17 +142,18 @@
         })
     };
     let _ = tx.send(Frame::Hello { incarnation: r.incarnation }).await;
-    let mut told = false;
-    let mine = Arc::new(AtomicUsize::new(0));
+    let mut leaving_sent = false;
+    let pending = Arc::new(AtomicUsize::new(0));
     let mut handlers = Vec::new();
     loop {
         let stopping = stop.fired();
-        if stopping && !told {
-            // Said at once, ahead of the lagging instance list, so that nothing new is sent here.
-            told = true;
+        if stopping && !leaving_sent {
+            // The instance list lags behind, so the callers are notified at once on the connection
+            // and send no new requests.
+            leaving_sent = true;
             let _ = tx.send(Frame::Leaving { incarnation: r.incarnation }).await;
         }
-        if stopping && mine.load(Ordering::SeqCst) == 0 {
+        if stopping && pending.load(Ordering::SeqCst) == 0 {
             break;
         }
         let next = if stopping {
@@ -163,17 +168,17 @@
             }
         };
         let Some(Ok(msg)) = next else { break };
-        if r.silent(gen) {
+        if r.is_silenced(gen) {
             continue;
         }
         let Message::Binary(bytes) = msg else { continue };
         let frame = match wire::decode(&bytes) {
             Ok(f) => f,
             Err(e) => {
-                // A malformed frame is dropped and counted; the connection and every other
-                // request on it go on.
+                // A malformed frame is dropped and counted. The connection and its other requests
+                // are not affected.
                 metrics::counter!("runner_bad_frames").increment(1);
-                log::debug!("bad frame: {e}");
+                log::debug!("malformed frame dropped: {e}");
                 continue;
             }
         };
@@ -183,7 +188,7 @@
             }
             Frame::Query { id, write } => r.answer_query(id, write, &tx).await,
             Frame::Lookup { .. } | Frame::Write { .. } => {
-                if !r.takes(&frame, stopping) {
+                if !r.accepts(&frame, stopping) {
                     r.busy.fetch_add(1, Ordering::Relaxed);
                     if let Some(b) = busy(&frame) {
                         let _ = tx.send(b).await;
@@ -191,8 +196,8 @@
                     continue;
                 }
                 r.queued.fetch_add(1, Ordering::SeqCst);
-                mine.fetch_add(1, Ordering::SeqCst);
-                let job = r.clone().slotted(frame, tx.clone(), mine.clone());
+                pending.fetch_add(1, Ordering::SeqCst);
+                let job = r.clone().run_in_slot(frame, tx.clone(), pending.clone());
                 handlers.push(async_std::task::spawn(job));
             }
             _ => {}
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -1,5 +1,6 @@
-//! The runner stand-in: a backend server with slots and connections that answers lookups and
-//! executes writes over websocket + CBOR, counting how often each write id ran.
+//! The runner stand-in: a backend server that answers lookups and executes writes over websocket
+//! and CBOR, and counts the executions of each write id. Slots bound the requests served at once;
+//! connections beyond the limit are refused.
 
 mod conn;
 
@@ -13,7 +14,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The admin listener closes at once on stop.
+/// The admin listener stops accepting at once and waits up to 5 s for requests in flight.
 const DRAIN: admin::Drain = admin::Drain { linger_ms: 0, drain_ms: 5_000 };
 
 /// Counters of a runner, served at `/stats`.
@@ -27,32 +28,32 @@
     pub writes_executed_twice: u64,
     /// Requests refused as busy.
     pub busy: u64,
-    /// Connections open now.
+    /// Open connections.
     pub connections: usize,
 }
 
-/// What this life of the runner knows of one write id. The first frame that names the id
-/// decides: it is taken and run, or refused for good.
+/// State of one write id in this incarnation of the runner. The first frame with the id decides
+/// whether the write is accepted or permanently refused.
 #[derive(Debug)]
 enum WriteState {
-    /// Taken, not yet run; these queries wait for the outcome: (correlation id, connection).
-    Taken(Vec<(u64, async_std::channel::Sender<crate::wire::Frame>)>),
-    /// Executed this many times (once, unless something is broken).
+    /// Accepted and not yet run; these queries wait for the outcome: (correlation id, connection).
+    Accepted(Vec<(u64, async_std::channel::Sender<crate::wire::Frame>)>),
+    /// Executed this many times; more than once is a fault.
     Ran(u64),
-    /// Refused as busy: never run here.
+    /// Refused as busy; never executed by this incarnation.
     Refused,
 }
 
 /// Shared state of one runner process.
 pub struct Runner {
-    /// Its address and id.
+    /// Addresses, id and failure domain.
     pub addr: RunnerAddr,
     knobs: RunnerKnobs,
     clock: Clock,
     slots: async_std::channel::Receiver<()>,
     slot_tx: async_std::channel::Sender<()>,
     writes: Mutex<BTreeMap<String, WriteState>>,
-    /// Which life of the runner this is.
+    /// Random number that identifies this incarnation of the runner.
     pub incarnation: u64,
     lose: AtomicU64,
     lookups: AtomicU64,
@@ -61,11 +62,11 @@
     in_flight: AtomicUsize,
     queued: AtomicUsize,
     generation: AtomicU64,
-    silent_upto: AtomicU64,
+    silenced_upto: AtomicU64,
 }
 
 impl Runner {
-    /// A runner with `knobs.slots` slots.
+    /// A runner with `knobs.slots` free slots.
     pub fn new(addr: RunnerAddr, knobs: RunnerKnobs, clock: Clock) -> Arc<Self> {
         let (slot_tx, slots) = async_std::channel::bounded(knobs.slots as usize);
         for _ in 0..knobs.slots {
@@ -86,11 +87,11 @@
             in_flight: AtomicUsize::new(0),
             queued: AtomicUsize::new(0),
             generation: AtomicU64::new(0),
-            silent_upto: AtomicU64::new(0),
+            silenced_upto: AtomicU64::new(0),
         })
     }
 
-    /// Counters now.
+    /// Present values of the counters.
     pub fn stats(&self) -> Stats {
         let runs = self.executions();
         Stats {
@@ -102,31 +103,32 @@
         }
     }
 
-    /// How often each write id ran here.
+    /// Number of executions of each write id that ran here.
     pub fn executions(&self) -> BTreeMap<String, u64> {
         let writes = self.writes.lock().unwrap();
         let ran = |s: &WriteState| match s {
             WriteState::Ran(n) => Some(*n),
-            WriteState::Taken(_) | WriteState::Refused => None,
+            WriteState::Accepted(_) | WriteState::Refused => None,
         };
         writes.iter().filter_map(|(id, s)| Some((id.clone(), ran(s)?))).collect()
     }
 
-    /// Fault injection: the answers to the next `n` requests are lost after they ran.
+    /// Fault injection: the next `n` requests are executed and their answers are lost.
     pub fn lose_answers(&self, n: u64) {
         self.lose.store(n, Ordering::SeqCst);
     }
 
-    /// Whether this answer is to be lost.
-    fn loses(&self) -> bool {
+    /// Whether to lose this answer; counts it if so.
+    fn lose_next_answer(&self) -> bool {
         let take = |n: u64| n.checked_sub(1);
         self.lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok()
     }
 
-    /// Fault injection: every connection open now goes silent for good (reads nothing, answers
-    /// nothing, stays open), as when a middlebox loses track of it; new connections work.
+    /// Fault injection: all present connections become permanently silent. They stay open, but
+    /// frames on them are ignored and no answers are sent, as when a middlebox loses its state of a
+    /// connection. New connections are not affected.
     pub fn silence(&self) {
-        self.silent_upto.store(self.generation.load(Ordering::SeqCst), Ordering::SeqCst);
+        self.silenced_upto.store(self.generation.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
     fn dump(&self) -> serde_json::Value {
@@ -140,8 +142,8 @@
         })
     }
 
-    /// Serves websocket connections and the admin HTTP API until `stop`, then lets requests in
-    /// flight finish before returning.
+    /// Serves websocket connections and the admin HTTP API until `stop`, then returns once the
+    /// requests in flight are finished.
     pub async fn serve(self: Arc<Self>, stop: Stop) -> eyre::Result<()> {
         let listener = crate::http::listen(self.addr.listen)?;
         let (admin_addr, admin) =
@@ -172,7 +174,7 @@
                 stop.clone(),
             )));
         }
-        // Graceful shutdown: connections finish what they hold, then close; the parent joins them.
+        // Graceful shutdown: each connection finishes its requests in flight, then closes.
         for c in conns {
             c.await;
         }
--- a/src/standin/api.rs
+++ b/src/standin/api.rs
@@ -32,12 +32,12 @@
     pub starts: Vec<StartReq>,
 }
 
-/// One attempt to stop.
+/// One attempt of a task, to be stopped.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StopReq {
     /// Task id.
     pub task: String,
-    /// Which start of it.
+    /// Attempt number of the task.
     pub attempt: u32,
     /// Worker name.
     pub worker: String,
@@ -62,11 +62,11 @@
 pub struct FeedReq {
     /// Key prefix.
     pub prefix: String,
-    /// Revision of the last answer; 0 for everything.
+    /// Revision of the last answer received; 0 asks for all rows.
     pub since: u64,
 }
 
-/// `POST /objects/:name` answer.
+/// The answer to `POST /objects/:name`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PutAnswer {
     /// New version of the object.
@@ -78,12 +78,12 @@
 pub struct ErrorBody {
     /// `throttled`, `unavailable`, `answer_lost`, `not_found` or `bad_request`.
     pub error: String,
-    /// When to come back, ms, where that helps.
+    /// Delay before a retry, ms; absent if a retry is of no use.
     #[serde(default)]
     pub retry_ms: Option<u64>,
 }
 
-/// `GET /stats`: counters and the oracle figures that the smoke report checks.
+/// `GET /stats`: counters, among them those of broken invariants that the smoke report checks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Stats {
     /// Table counters.
@@ -94,19 +94,19 @@
     pub reads_per_s: f64,
     /// Tasks started.
     pub started: u64,
-    /// Tasks killed because nobody extended their task lease.
+    /// Tasks killed because their task lease expired.
     #[serde(default)]
     pub lapsed: u64,
     /// Tasks running now.
     pub running: u64,
     /// Starts refused, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Workers that ever ran beyond capacity (must be empty).
+    /// Workers that ran beyond their capacity at any time (must be empty).
     pub overcommitted: BTreeSet<String>,
-    /// Their number.
+    /// Number of workers in `overcommitted`.
     pub overcommitted_workers: u64,
-    /// Starts of a task that was already running somewhere (must be 0).
+    /// Starts of a task that was already running on some worker (must be 0).
     pub double_runs: u64,
-    /// Platform clock, ms.
+    /// Time since the platform started, ms.
     pub uptime_ms: u64,
 }
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -24,7 +24,7 @@
 /// Header that names the failure domain of the calling process.
 pub const CALLER: &str = "x-currantgw-domain";
 
-/// Bytes and calls between this process and the platform, bodies only, for `/debug/state`.
+/// Calls of this process to the platform and the bytes of their bodies, for `/debug/state`.
 #[derive(Debug, Default, Serialize)]
 pub struct Traffic {
     /// Calls made.
@@ -38,14 +38,14 @@
 /// Why a platform call failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlatformError {
-    /// The budget is spent: come back after `retry_ms`.
+    /// The read or write budget of this second is used up.
     #[error("platform throttled, retry in {retry_ms} ms")]
     Throttled {
-        /// When to come back.
+        /// Delay before a retry, ms.
         retry_ms: u64,
     },
-    /// The service is down (outage), or its answer was lost: the call may or may not have
-    /// taken effect, so only calls with an idempotency key may be repeated blindly.
+    /// The service is down, or its answer was lost. The call may have taken effect, so only a
+    /// call with an idempotency key may be repeated without checking its outcome.
     #[error("platform unavailable ({kind})")]
     Unavailable {
         /// `unavailable` or `answer_lost`.
@@ -57,15 +57,15 @@
     /// The connection failed.
     #[error("platform transport: {detail}")]
     Transport {
-        /// What the HTTP client said.
+        /// Error of the HTTP client or of the JSON decoder.
         detail: String,
     },
-    /// An answer that is not what the API promises.
+    /// An answer with a status that the API does not define.
     #[error("platform answered {status}: {detail}")]
     Status {
         /// HTTP status.
         status: u16,
-        /// Error kind from the body.
+        /// Error kind from the body; empty if the body has none.
         detail: String,
     },
     /// The object or domain does not exist.
@@ -88,7 +88,7 @@
 }
 
 impl Client {
-    /// A client of the platform at `addr` (`host:port`), for a process of no failure domain.
+    /// A client of the platform at `addr`, for a process outside all failure domains.
     pub fn new(addr: std::net::SocketAddr, clock: Clock) -> Self {
         Self::of_domain(addr, "", clock)
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Calls and bytes so far.
+    /// Calls and bytes since the client was created.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
@@ -166,7 +166,7 @@
         self.post("/table/scan", &ScanReq { prefix: prefix.to_string() }).await
     }
 
-    /// What changed under `prefix` since revision `since` (0: everything).
+    /// Rows under `prefix` that changed since revision `since` (0: all rows).
     pub async fn feed(&self, prefix: &str, since: u64) -> Result<Feed, PlatformError> {
         self.post("/table/feed", &FeedReq { prefix: prefix.to_string(), since }).await
     }
@@ -176,7 +176,7 @@
         self.post("/table/leases", &ScanReq { prefix: prefix.to_string() }).await
     }
 
-    /// Stores an object (a JSON text).
+    /// Stores an object (a JSON text) and returns its new version.
     pub async fn put_object(&self, name: &str, body: String) -> Result<u64, PlatformError> {
         let url = format!("{}/objects/{name}", self.base);
         let a: PutAnswer = self.call(self.http.post(url).body_string(body)).await?;
@@ -188,32 +188,32 @@
         self.fetch(&format!("/objects/{name}")).await
     }
 
-    /// Every worker.
+    /// Lists all workers.
     pub async fn workers(&self) -> Result<Vec<WorkerInfo>, PlatformError> {
         self.fetch("/workers").await
     }
 
-    /// Starts tasks.
+    /// Starts tasks; one result for each, in the order of `starts`.
     pub async fn start(&self, starts: Vec<StartReq>) -> Result<Vec<StartResult>, PlatformError> {
         self.post("/workers/start", &StartBatch { starts }).await
     }
 
-    /// Stops attempts of tasks; for each whether its worker was reached.
+    /// Stops attempts of tasks; each result tells whether the worker was reached.
     pub async fn stop(&self, stops: Vec<StopReq>) -> Result<Vec<bool>, PlatformError> {
         self.post("/workers/stop", &StopBatch { stops }).await
     }
 
-    /// Polls shards: extends task leases, acknowledges ends, fetches new ones.
+    /// Polls shards: extends task leases, acknowledges completions and fetches new ones.
     pub async fn poll(&self, polls: Vec<ShardPoll>) -> Result<Vec<ShardReport>, PlatformError> {
         self.post("/workers/poll", &PollBatch { polls }).await
     }
 
-    /// Room per rack of `domain`, from the workers' usage.
+    /// Free capacity per rack of `domain`, from the workers' usage.
     pub async fn rooms(&self, domain: &str) -> Result<Vec<RackRoom>, PlatformError> {
         self.fetch(&format!("/workers/rooms?domain={domain}")).await
     }
 
-    /// The lagging instance list.
+    /// The instance list, which lags behind by the configured time.
     pub async fn instances(&self) -> Result<BTreeMap<String, InstanceState>, PlatformError> {
         self.fetch("/instances").await
     }
@@ -227,12 +227,12 @@
         self.post(&format!("/instances/{name}"), &state).await
     }
 
-    /// Adds faults to the plan.
+    /// Adds faults to the plan; returns the whole plan.
     pub async fn add_faults(&self, faults: &[Fault]) -> Result<serde_json::Value, PlatformError> {
         self.post("/faults", &faults).await
     }
 
-    /// Counters and oracle figures.
+    /// Counters, among them those of broken invariants.
     pub async fn stats(&self) -> Result<Stats, PlatformError> {
         self.fetch("/stats").await
     }
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -1,11 +1,11 @@
-//! The fault plan of the platform stand-in: outages, delays, answers lost after the write took
-//! effect, and broken workers, each on one interface for a stretch of platform time.
+//! The fault plan of the platform stand-in: outages, delays, answers lost after the call took
+//! effect, and broken workers. Each fault affects one interface for a period of platform time.
 
 use crate::kernel::clock::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The interface a fault strikes.
+/// The interface that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Target {
@@ -15,25 +15,26 @@
     Store,
     /// The workers' API.
     Workers,
-    /// Start orders to workers alone.
+    /// Start orders to workers, and no other calls to them.
     Starts,
     /// The instance list.
     Instances,
 }
 
 impl Target {
-    /// Whether a fault here strikes calls on `other`: start orders are calls on the workers.
+    /// Whether a fault on this target affects calls on `other`; a fault on the workers' API also
+    /// affects start orders.
     fn covers(self, other: Self) -> bool {
         self == other || (self == Self::Workers && other == Self::Starts)
     }
 }
 
-/// What goes wrong.
+/// The kind of a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// Every call fails with 503 and has no effect.
     Outage,
-    /// Every call waits this long first.
+    /// Every call is delayed before it takes effect.
     Delay {
         /// Added latency in ms.
         ms: u64,
@@ -45,36 +46,36 @@
         /// Worker name.
         worker: String,
     },
-    /// The named worker cannot be reached, and runs on (target `workers`).
+    /// The named worker cannot be reached, and its tasks go on running (target `workers`).
     Cut {
         /// Worker name.
         worker: String,
     },
-    /// The named job's tasks fail wherever they start (target `workers`).
+    /// The named job's tasks fail on every worker (target `workers`).
     Poison {
         /// Job id.
         job: String,
     },
 }
 
-/// One fault, active from `from_ms` for `for_ms` (platform ms; `for_ms` 0 means for good).
+/// One fault, active from `from_ms` for `for_ms` (platform ms; `for_ms` 0 means permanently).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "WireFault", into = "WireFault")]
 pub struct Fault {
-    /// Where.
+    /// The interface affected.
     pub target: Target,
-    /// What.
+    /// What happens to the calls.
     pub kind: FaultKind,
-    /// Start, platform ms; absent means now.
+    /// Start, platform ms; absent means the time at which the fault is added.
     pub from_ms: Option<Millis>,
-    /// Length in ms; 0 for good.
+    /// Duration, ms; 0 is permanent.
     pub for_ms: Millis,
-    /// Strikes only calls from this failure domain (a domain cut off from the platform); absent
-    /// strikes every caller.
+    /// Affects only calls from this failure domain (a domain cut off from the platform); absent
+    /// affects every caller.
     pub from: Option<String>,
 }
 
-/// Kinds of fault as written in a plan.
+/// Kinds of fault as written in a JSON plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WireKind {
@@ -92,7 +93,7 @@
     Poison,
 }
 
-/// A fault as written in a plan: flat, unknown fields refused.
+/// A fault as written in a JSON plan: one flat object, unknown fields are refused.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WireFault {
@@ -176,38 +177,38 @@
 }
 
 impl Fault {
-    /// `kind` on `target` from now on for `for_ms` (0 for good), for every caller.
+    /// A fault that starts when it is added, lasts `for_ms` (0: permanent) and affects all callers.
     pub fn now(target: Target, kind: FaultKind, for_ms: Millis) -> Self {
         Self { target, kind, from_ms: None, for_ms, from: None }
     }
 }
 
-/// What the plan does to one call.
+/// The effect of the fault plan on one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Effect {
-    /// Fail the call without effect.
+    /// The call fails without effect.
     pub outage: bool,
-    /// Wait first, ms.
+    /// Delay before the call takes effect, ms.
     pub delay: u64,
-    /// Apply, then fail the answer.
-    pub lose: bool,
+    /// The call takes effect and its answer is lost.
+    pub lose_answer: bool,
 }
 
-/// Workers and jobs that faults strike by name.
+/// Workers and jobs that active faults name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Struck {
+pub struct Affected {
     /// Workers that fail everything they start.
     pub broken: BTreeSet<String>,
     /// Workers that cannot be reached.
     pub cut: BTreeSet<String>,
-    /// Jobs whose tasks fail wherever they start.
+    /// Jobs whose tasks fail on every worker.
     pub poison: BTreeSet<String>,
 }
 
-/// The faults in force.
+/// The fault plan.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Plan {
-    /// Every fault, past ones included.
+    /// All faults, those that are over included.
     pub faults: Vec<Fault>,
 }
 
@@ -217,28 +218,28 @@
         now >= from && (f.for_ms == 0 || now < from + f.for_ms)
     }
 
-    /// The effect on a call to `target` by a process of failure domain `caller` at `now`.
+    /// The effect on a call to `target` at `now` by a process of failure domain `caller`.
     pub fn effect(&self, target: Target, caller: &str, now: Millis) -> Effect {
         let mut e = Effect::default();
-        let strikes = |f: &&Fault| {
+        let applies = |f: &&Fault| {
             f.target.covers(target)
                 && Self::active(f, now)
                 && f.from.as_ref().is_none_or(|from| from == caller)
         };
-        for f in self.faults.iter().filter(strikes) {
+        for f in self.faults.iter().filter(applies) {
             match f.kind {
                 FaultKind::Outage => e.outage = true,
                 FaultKind::Delay { ms } => e.delay = e.delay.max(ms),
-                FaultKind::LoseAnswer => e.lose = true,
+                FaultKind::LoseAnswer => e.lose_answer = true,
                 FaultKind::Broken { .. } | FaultKind::Cut { .. } | FaultKind::Poison { .. } => {}
             }
         }
         e
     }
 
-    /// What strikes single workers and jobs at `now`.
-    pub fn struck(&self, now: Millis) -> Struck {
-        let mut s = Struck::default();
+    /// Workers and jobs named by the faults that are active at `now`.
+    pub fn affected(&self, now: Millis) -> Affected {
+        let mut s = Affected::default();
         for f in self.faults.iter().filter(|f| Self::active(f, now)) {
             match &f.kind {
                 FaultKind::Broken { worker } => s.broken.insert(worker.clone()),
@@ -250,13 +251,13 @@
         s
     }
 
-    /// Whether some fault strikes single workers, now or ever.
-    pub fn strikes_workers(&self) -> bool {
-        let single = |f: &Fault| match f.kind {
+    /// Whether any fault of the plan, active or not, names a worker or a job.
+    pub fn affects_named(&self) -> bool {
+        let names_one = |f: &Fault| match f.kind {
             FaultKind::Broken { .. } | FaultKind::Cut { .. } | FaultKind::Poison { .. } => true,
             FaultKind::Outage | FaultKind::Delay { .. } | FaultKind::LoseAnswer => false,
         };
-        self.faults.iter().any(single)
+        self.faults.iter().any(names_one)
     }
 
     /// Adds faults; those without a start begin at `now`.
--- a/src/standin/instances.rs
+++ b/src/standin/instances.rs
@@ -1,4 +1,5 @@
-//! The lagging list of live and leaving instances (backend servers) of the platform stand-in.
+//! The list of live and leaving instances (backend servers) of the platform stand-in; readers see
+//! each change with a lag.
 
 use crate::kernel::clock::Millis;
 use serde::{Deserialize, Serialize};
@@ -10,18 +11,18 @@
 pub enum InstanceState {
     /// Serving.
     Live,
-    /// Being taken out: send it nothing new.
+    /// Being removed: no new requests may be sent to it.
     Leaving,
 }
 
-/// The list, with every change stamped so that readers see it only after the lag.
+/// The list; each change has a time stamp, so that readers see it only after the lag.
 #[derive(Debug, Default)]
 pub struct Instances {
     changes: BTreeMap<String, Vec<(Millis, InstanceState)>>,
 }
 
 impl Instances {
-    /// Adds `name` as live from the beginning of time.
+    /// Adds `name` as live since time 0; readers see it without the lag.
     pub fn add(&mut self, name: &str) {
         self.changes.insert(name.to_string(), vec![(0, InstanceState::Live)]);
     }
@@ -33,13 +34,13 @@
         true
     }
 
-    /// The list as a reader sees it at `now`: each change shows only `lag` ms after it was made.
+    /// The list as a reader sees it at `now`: each change is visible `lag` ms after it was made.
     pub fn view(&self, now: Millis, lag: Millis) -> BTreeMap<String, InstanceState> {
         self.changes
             .iter()
             .filter_map(|(name, c)| {
-                let seen = c.iter().rev().find(|(at, _)| *at == 0 || at + lag <= now)?;
-                Some((name.clone(), seen.1))
+                let visible = c.iter().rev().find(|(at, _)| *at == 0 || at + lag <= now)?;
+                Some((name.clone(), visible.1))
             })
             .collect()
     }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,5 +1,5 @@
-//! The platform: the stand-in service (table, object store, workers, instance list, fault
-//! plan), its HTTP server, and the client that entry instances use.
+//! The platform stand-in: a service with table, object store, workers, instance list and fault
+//! plan, its HTTP server, and the client that entry instances use.
 
 pub mod api;
 pub mod client;
@@ -24,7 +24,7 @@
 /// Prefix of shard leases.
 pub const LEASE_PREFIX: &str = "shard/";
 
-/// Lease key of a shard, as placements and workers name it.
+/// Lease key of a shard, as used by entry instances and workers.
 pub fn lease_key(shard: &str) -> String {
     format!("{LEASE_PREFIX}{shard}")
 }
@@ -34,20 +34,21 @@
     format!("place/{shard}/")
 }
 
-/// Row key of a task's placement, which workers check before they start it.
+/// Row key of a task's placement; a task is started only if this row matches the start order.
 pub fn place_key(shard: &str, task: &str) -> String {
     format!("{}{task}", place_prefix(shard))
 }
 
-/// A placement row: what is committed on a worker, and what a start must match.
+/// A placement row: resources committed on a worker for one attempt of a task. A start order must
+/// match it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceRow {
-    /// Worker.
+    /// Worker name.
     pub worker: String,
-    /// Fencing epoch of the placement; 0 once withdrawn: the room stays committed until the
-    /// shard's holder has seen the end, and no start matches.
+    /// Fencing epoch of the placement. 0 once the placement is withdrawn: no start order matches
+    /// it, and the resources stay committed until the shard's holder has read the completion.
     pub epoch: u64,
-    /// Which start of the task.
+    /// Attempt number of the task.
     pub attempt: u32,
     /// Resources committed.
     pub demand: Resources,
@@ -60,7 +61,7 @@
     }
 }
 
-/// The platform stand-in: every interface, each under its own lock.
+/// The platform stand-in; each interface has its own lock.
 pub struct Platform {
     /// The platform's clock (lease expiry, task run times, lags).
     pub clock: Clock,
@@ -71,12 +72,12 @@
     instances: Mutex<instances::Instances>,
     plan: Mutex<faults::Plan>,
     double_runs: AtomicU64,
-    born: crate::kernel::clock::Millis,
+    started_at: crate::kernel::clock::Millis,
     refused: Mutex<BTreeMap<String, u64>>,
 }
 
 impl Platform {
-    /// Builds the stand-in from its settings; `runners` become the instance list.
+    /// Builds the stand-in from its settings; `runners` are the names in the instance list.
     pub fn new(settings: PlatformSettings, runners: &[String], clock: Clock) -> Self {
         let domains = settings
             .domains
@@ -98,7 +99,7 @@
             instances: Mutex::new(list),
             plan: Mutex::new(faults::Plan::default()),
             double_runs: AtomicU64::new(0),
-            born: clock.now(),
+            started_at: clock.now(),
             refused: Mutex::new(BTreeMap::new()),
             settings,
         }
@@ -122,7 +123,7 @@
         self.table.lock().unwrap().scan(prefix, now)
     }
 
-    /// What changed under a prefix since a revision.
+    /// Rows under a prefix that changed since a revision.
     pub fn feed(&self, prefix: &str, since: u64) -> Result<table::Feed, table::Throttled> {
         let now = self.clock.now();
         self.table.lock().unwrap().feed(prefix, since, now)
@@ -149,7 +150,7 @@
         self.store.lock().unwrap().bodies(prefix)
     }
 
-    /// Every worker of every domain.
+    /// Lists the workers of all domains.
     pub fn workers(&self) -> Vec<tasks::WorkerInfo> {
         self.domains.values().flat_map(|d| d.lock().unwrap().list()).collect()
     }
@@ -162,20 +163,20 @@
         let now = self.clock.now();
         let faults = {
             let plan = self.plan.lock().unwrap();
-            plan.strikes_workers().then(|| plan.struck(now))
+            plan.affects_named().then(|| plan.affected(now))
         };
         for d in self.domains.values() {
             let mut d = d.lock().unwrap();
             d.tick(now);
-            if let Some(struck) = &faults {
-                d.set_faults(struck);
+            if let Some(affected) = &faults {
+                d.set_faults(affected);
             }
         }
     }
 
-    /// Starts tasks, each only if its shard's lease epoch is current and the table holds its
-    /// placement on that worker under that epoch and attempt: a placer that lost its lease while
-    /// paused, or a task refused or cancelled, is not started.
+    /// Starts tasks. A task is started only if its shard's lease epoch is current and the table
+    /// has its placement on that worker under that epoch and attempt. This refuses orders of a
+    /// process that lost its lease while it was paused, and tasks that were refused or cancelled.
     pub fn start(&self, reqs: &[tasks::StartReq]) -> Vec<tasks::StartResult> {
         self.tick_all();
         let now = self.clock.now();
@@ -205,11 +206,13 @@
                     let Some(d) = self.domains.get(Self::domain_of(&r.worker)) else {
                         return Some(tasks::StartRefusal::UnknownWorker);
                     };
-                    // The oracle: a task started while it already runs anywhere in the cell is
-                    // a double run. A repeated start on the same worker is refused, not counted.
-                    let before = self.domains.values().any(|d| d.lock().unwrap().holds(&r.task));
+                    // Invariant: a task runs at most once in the cell. A start while it runs on
+                    // any worker counts as a double run; a repeated start of the same attempt on
+                    // the same worker is refused and not counted.
+                    let already_running =
+                        self.domains.values().any(|d| d.lock().unwrap().runs_task(&r.task));
                     let refused = d.lock().unwrap().start(r, now, rng.gen_range(50..=200));
-                    if before && refused.is_none() {
+                    if already_running && refused.is_none() {
                         self.double_runs.fetch_add(1, Ordering::Relaxed);
                     }
                     refused
@@ -223,7 +226,7 @@
             .collect()
     }
 
-    /// Stops attempts of tasks; for each whether its worker was reached.
+    /// Stops attempts of tasks; each result tells whether the worker was reached.
     pub fn stop(&self, reqs: &[api::StopReq]) -> Vec<bool> {
         self.tick_all();
         let now = self.clock.now();
@@ -234,31 +237,31 @@
         reqs.iter().map(|r| stop(r).unwrap_or(false)).collect()
     }
 
-    /// Polls shards: each only under an epoch that no later one has superseded.
+    /// Polls shards. A poll under an epoch that a later one has superseded is answered as stale.
     pub fn poll(&self, polls: &[tasks::ShardPoll]) -> Vec<tasks::ShardReport> {
         self.tick_all();
         let now = self.clock.now();
-        let fresh: Vec<bool> = {
+        let current: Vec<bool> = {
             let t = self.table.lock().unwrap();
             polls.iter().map(|p| t.epoch_latest(&lease_key(&p.shard), p.epoch)).collect()
         };
         polls
             .iter()
-            .zip(fresh)
-            .map(|(p, fresh)| match self.domains.get(Self::domain_of(&p.shard)) {
-                Some(d) if fresh => d.lock().unwrap().poll(p, now, self.settings.usage_lag_ms),
+            .zip(current)
+            .map(|(p, current)| match self.domains.get(Self::domain_of(&p.shard)) {
+                Some(d) if current => d.lock().unwrap().poll(p, now, self.settings.usage_lag_ms),
                 _ => tasks::ShardReport { stale: true, ..tasks::ShardReport::default() },
             })
             .collect()
     }
 
-    /// Room per rack of a failure domain.
+    /// Free capacity per rack of a failure domain; `None` for an unknown domain.
     pub fn rooms(&self, domain: &str) -> Option<Vec<tasks::RackRoom>> {
         self.tick_all();
         Some(self.domains.get(domain)?.lock().unwrap().rooms())
     }
 
-    /// The lagging instance list.
+    /// The instance list as readers see it, after the configured lag.
     pub fn instances(&self) -> BTreeMap<String, instances::InstanceState> {
         let now = self.clock.now();
         self.instances.lock().unwrap().view(now, self.settings.instance_lag_ms)
@@ -275,15 +278,15 @@
         self.plan.lock().unwrap().add(faults, self.clock.now());
     }
 
-    /// What the plan does to a call on `target` by a process of failure domain `caller` now.
+    /// The plan's present effect on a call to `target` by a process of failure domain `caller`.
     pub fn effect(&self, target: faults::Target, caller: &str) -> faults::Effect {
         self.plan.lock().unwrap().effect(target, caller, self.clock.now())
     }
 
-    /// Counters and oracle figures.
+    /// Counters, among them those of broken invariants.
     pub fn stats(&self) -> api::Stats {
         self.tick_all();
-        let up = self.clock.now() - self.born;
+        let up = self.clock.now() - self.started_at;
         let secs = (up as f64 / 1000.0).max(0.001);
         let table = self.table.lock().unwrap().counts.clone();
         let mut s = api::Stats {
@@ -306,7 +309,7 @@
         s
     }
 
-    /// The state dump: sizes, usage per worker, faults, instance list.
+    /// The state dump: sizes, usage per worker, fault plan, instance list and counters.
     pub fn dump(&self) -> serde_json::Value {
         let (rows, leases, idem) = self.table.lock().unwrap().sizes();
         let (objects, bytes) = self.store.lock().unwrap().size();
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -1,4 +1,5 @@
-//! The HTTP API of the platform stand-in; every call passes through the fault plan.
+//! The HTTP API of the platform stand-in. The fault plan applies to every call except those of
+//! `/instances/:name`, `/faults`, `/stats`, `/debug/state` and `/metrics`.
 
 use crate::admin;
 use crate::standin::api::{
@@ -30,9 +31,9 @@
     req.header(CALLER).map_or_else(String::new, |h| h.as_str().to_string())
 }
 
-/// Runs `f` under the fault plan of `target`: an outage answers 503 without effect, a delay
-/// waits first, a lost answer applies `f` and then answers 503 as if the reply never came.
-async fn guarded(
+/// Runs `f` under the faults of `target`: on an outage it answers 503 and does not run `f`, on a
+/// delay it sleeps before `f`, on a lost answer it runs `f` and answers 503.
+async fn with_faults(
     p: &Platform,
     target: Target,
     caller: &str,
@@ -46,13 +47,13 @@
         p.clock.sleep(e.delay).await;
     }
     let res = f();
-    if e.lose {
+    if e.lose_answer {
         return Ok(error(503, "answer_lost", None));
     }
     Ok(res)
 }
 
-/// A POST whose JSON body is a `B`: `f` answers it under the fault plan of `target`.
+/// Handles a request with a JSON body `B`: answers with `f` under the faults of `target`.
 async fn post<B: DeserializeOwned>(
     mut req: Request<State>,
     target: Target,
@@ -61,10 +62,10 @@
     let from = caller(&req);
     let body: B = req.body_json().await?;
     let p = req.state().clone();
-    guarded(&p, target, &from, || f(&p, body)).await
+    with_faults(&p, target, &from, || f(&p, body)).await
 }
 
-/// A GET: `f` answers it under the fault plan of `target`.
+/// Handles a request whose body needs no decoding: answers with `f` under the faults of `target`.
 async fn fetch(
     req: Request<State>,
     target: Target,
@@ -72,31 +73,31 @@
 ) -> tide::Result {
     let from = caller(&req);
     let p = req.state().clone();
-    guarded(&p, target, &from, || f(&p)).await
+    with_faults(&p, target, &from, || f(&p)).await
 }
 
-fn table<T: serde::Serialize>(out: Result<T, Throttled>) -> Response {
+fn table_answer<T: serde::Serialize>(out: Result<T, Throttled>) -> Response {
     out.map_or_else(throttled, |r| admin::json(200, &r))
 }
 
 async fn txn(req: Request<State>) -> tide::Result {
-    post(req, Target::Table, |p, t: Txn| table(p.txn(&t))).await
+    post(req, Target::Table, |p, t: Txn| table_answer(p.txn(&t))).await
 }
 
 async fn get(req: Request<State>) -> tide::Result {
-    post(req, Target::Table, |p, g: GetReq| table(p.get(&g.keys))).await
+    post(req, Target::Table, |p, g: GetReq| table_answer(p.get(&g.keys))).await
 }
 
 async fn scan(req: Request<State>) -> tide::Result {
-    post(req, Target::Table, |p, s: ScanReq| table(p.scan(&s.prefix))).await
+    post(req, Target::Table, |p, s: ScanReq| table_answer(p.scan(&s.prefix))).await
 }
 
 async fn feed(req: Request<State>) -> tide::Result {
-    post(req, Target::Table, |p, f: FeedReq| table(p.feed(&f.prefix, f.since))).await
+    post(req, Target::Table, |p, f: FeedReq| table_answer(p.feed(&f.prefix, f.since))).await
 }
 
 async fn leases(req: Request<State>) -> tide::Result {
-    post(req, Target::Table, |p, s: ScanReq| table(p.leases(&s.prefix))).await
+    post(req, Target::Table, |p, s: ScanReq| table_answer(p.leases(&s.prefix))).await
 }
 
 async fn put_object(mut req: Request<State>) -> tide::Result {
@@ -133,11 +134,11 @@
 
 async fn rooms(req: Request<State>) -> tide::Result {
     #[derive(serde::Deserialize)]
-    struct Q {
+    struct Query {
         domain: String,
     }
-    let q: Q = req.query()?;
-    let rooms = |p: &Platform| match p.rooms(&q.domain) {
+    let query: Query = req.query()?;
+    let rooms = |p: &Platform| match p.rooms(&query.domain) {
         Some(r) => admin::json(200, &r),
         None => error(404, "not_found", None),
     };
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -6,13 +6,13 @@
 /// One stored object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Grows by one per put.
+    /// Version number; grows by one with each put.
     pub version: u64,
-    /// The bytes, as JSON text for the stand-in.
+    /// The content; the stand-in stores JSON text.
     pub body: String,
 }
 
-/// Every object, by name.
+/// All objects, by name.
 #[derive(Debug, Default)]
 pub struct Store {
     objects: BTreeMap<String, Object>,
@@ -43,7 +43,7 @@
         named.take_while(|(n, _)| n.starts_with(prefix)).map(|(_, o)| o.body.clone()).collect()
     }
 
-    /// Number of objects and bytes held.
+    /// Number of objects and their total size in bytes.
     pub fn size(&self) -> (usize, usize) {
         (self.objects.len(), self.objects.values().map(|o| o.body.len()).sum())
     }
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -1,6 +1,6 @@
 //! The transactional table service of the platform stand-in: rows with versions, leases with
-//! epochs, multi-row transactions with conditions, idempotency keys and a budget of writes and
-//! reads per second shared by the whole cell.
+//! epochs, multi-row transactions with conditions, and idempotency keys. One budget of writes and
+//! one of reads per second limit the calls of the whole cell.
 
 use crate::kernel::clock::Millis;
 use serde::{Deserialize, Serialize};
@@ -16,14 +16,14 @@
     pub value: Value,
 }
 
-/// A lease: who holds a key, under which fencing epoch, until when (platform clock, ms).
+/// A lease on a key: its holder, fencing epoch and expiry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// Holder id.
     pub holder: String,
     /// Fencing epoch; grows by one each time the lease changes hands.
     pub epoch: u64,
-    /// Expiry, platform ms.
+    /// Expiry, platform clock, ms.
     pub expires: Millis,
 }
 
@@ -38,7 +38,7 @@
         /// Expected version.
         version: u64,
     },
-    /// The lease at `key` is held by `holder` under `epoch` and has not expired: the fence.
+    /// The lease at `key` is held by `holder` under `epoch` and has not expired (fencing).
     Lease {
         /// Lease key.
         key: String,
@@ -65,11 +65,11 @@
         /// Row key.
         key: String,
     },
-    /// Takes a free or expired lease, or extends one already held by `holder`.
+    /// Acquires a free or expired lease, or extends one already held by `holder`.
     Acquire {
         /// Lease key.
         key: String,
-        /// Who takes it.
+        /// New holder.
         holder: String,
         /// Lifetime in ms.
         ttl_ms: u64,
@@ -85,7 +85,7 @@
         /// New lifetime in ms.
         ttl_ms: u64,
     },
-    /// Gives a lease up at once.
+    /// Expires a lease at once.
     Release {
         /// Lease key.
         key: String,
@@ -96,7 +96,7 @@
     },
 }
 
-/// A transaction: all conditions checked, then all operations applied, or nothing.
+/// A transaction: if all conditions hold, all operations are applied, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     /// Conditions, all of which must hold.
@@ -112,60 +112,60 @@
 }
 
 impl Txn {
-    /// A transaction without conditions of its own; its lease operations have theirs.
+    /// A transaction without conditions. Its lease operations are still checked.
     pub fn of(ops: Vec<Op>) -> Self {
         Self { ops, ..Self::default() }
     }
 }
 
-/// What a transaction did.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
-    /// Applied; `epochs` holds the epoch of each lease operation, in order; `versions` the new
-    /// version of each row written.
+    /// All operations were applied.
     Committed {
         /// Epochs of lease operations, in order.
         epochs: Vec<u64>,
-        /// New versions of rows put, by key.
+        /// New version of each row written, by key; 0 for a deleted row.
         versions: BTreeMap<String, u64>,
-        /// True when this answer is the recorded one of an earlier try with the same key.
+        /// Whether this is the recorded outcome of an earlier transaction with the same key.
         replay: bool,
     },
-    /// Not applied: condition or lease operation number `index` (conditions first, then
+    /// Nothing was applied: the condition or lease operation at `index` (conditions first, then
     /// operations) failed at `key`.
     Conflict {
-        /// Index of what failed.
+        /// Index of the failed condition or operation.
         index: usize,
         /// Its key.
         key: String,
-        /// The row's current version there (0 absent).
+        /// Current version of the row at `key`; 0 if absent.
         version: u64,
-        /// The lease there, if any.
+        /// The lease at `key`, if any.
         lease: Option<Lease>,
     },
 }
 
-/// What changed under a prefix since a revision.
+/// Changes under a prefix since a revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Feed {
-    /// Ask from here next time.
+    /// Revision to pass to the next call.
     pub revision: u64,
-    /// `rows` is everything under the prefix: the history asked for is no longer kept.
+    /// `rows` contains all rows under the prefix, because the history since the requested
+    /// revision is no longer kept.
     pub reset: bool,
-    /// Rows written since.
+    /// Rows written since the requested revision.
     pub rows: BTreeMap<String, Row>,
-    /// Keys removed since.
+    /// Keys removed since the requested revision.
     pub gone: Vec<String>,
 }
 
-/// Removed keys remembered for feeds; older history answers with a reset.
-const HISTORY: usize = 20_000;
+/// Removed keys kept for feeds; a feed since an older revision is answered with a reset.
+const TOMBSTONES_KEPT: usize = 20_000;
 
-/// Idempotency records kept; a retry comes within seconds, so the oldest may go.
-const IDEM_KEPT: usize = 200_000;
+/// Idempotency records kept. Retries arrive within seconds, so the oldest records can be dropped.
+const IDEM_RECORDS_KEPT: usize = 200_000;
 
-/// How many transactions and reads were taken and refused.
+/// Counters of transactions and reads.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Write transactions applied (replays excluded).
@@ -182,28 +182,28 @@
     pub replays: u64,
 }
 
-/// The budget's answer when a call would exceed it: come back after `retry_ms`.
+/// Error of a call that would exceed the budget of this second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("table budget exhausted, retry in {retry_ms} ms")]
 pub struct Throttled {
-    /// When to come back.
+    /// Delay before a retry, ms.
     pub retry_ms: u64,
 }
 
-/// Per-second windows of writes and reads against their limits.
+/// Limits of writes and reads per second, and their use in the present second.
 #[derive(Clone, Debug, Default)]
 struct Budget {
     writes: u32,
     reads: u32,
-    window: Millis,
+    window_start: Millis,
     used_writes: u32,
     used_reads: u32,
 }
 
 impl Budget {
-    fn take(&mut self, now: Millis, write: bool) -> Result<(), Throttled> {
-        if now >= self.window + 1000 {
-            self.window = now - now % 1000;
+    fn charge(&mut self, now: Millis, write: bool) -> Result<(), Throttled> {
+        if now >= self.window_start + 1000 {
+            self.window_start = now - now % 1000;
             self.used_writes = 0;
             self.used_reads = 0;
         }
@@ -213,7 +213,7 @@
             (&mut self.used_reads, self.reads)
         };
         if *used >= limit {
-            return Err(Throttled { retry_ms: self.window + 1000 - now });
+            return Err(Throttled { retry_ms: self.window_start + 1000 - now });
         }
         *used += 1;
         Ok(())
@@ -221,14 +221,14 @@
 }
 
 /// Entries of `map` whose key starts with `prefix`, in order.
-fn under<'a, T>(
+fn with_prefix<'a, T>(
     map: &'a BTreeMap<String, T>,
     prefix: &'a str,
 ) -> impl Iterator<Item = (&'a String, &'a T)> {
     map.range(prefix.to_string()..).take_while(move |(k, _)| k.starts_with(prefix))
 }
 
-/// The table: rows, leases, idempotency records, the budget and counters.
+/// The table: rows, leases, idempotency records, change history, budget and counters.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
@@ -237,16 +237,16 @@
     idem_order: VecDeque<String>,
     revision: u64,
     changed: BTreeMap<u64, String>,
-    last: BTreeMap<String, u64>,
-    graves: BTreeSet<u64>,
-    floor: u64,
+    last_change: BTreeMap<String, u64>,
+    tombstones: BTreeSet<u64>,
+    history_start: u64,
     budget: Budget,
     /// Counters since start.
     pub counts: Counts,
 }
 
 impl Table {
-    /// An empty table allowing `writes` transactions and `reads` reads a second.
+    /// An empty table with a budget of `writes` transactions and `reads` reads per second.
     pub fn new(writes: u32, reads: u32) -> Self {
         Self { budget: Budget { writes, reads, ..Budget::default() }, ..Self::default() }
     }
@@ -261,8 +261,8 @@
             }
             return Ok(done);
         }
-        self.budget.take(now, true)?;
-        let out = self.attempt(txn, now);
+        self.budget.charge(now, true)?;
+        let out = self.execute(txn, now);
         match &out {
             Outcome::Committed { .. } => {
                 self.counts.writes += 1;
@@ -270,7 +270,7 @@
                 if let Some(k) = &txn.idem {
                     self.idem.insert(k.clone(), out.clone());
                     self.idem_order.push_back(k.clone());
-                    if self.idem_order.len() > IDEM_KEPT {
+                    if self.idem_order.len() > IDEM_RECORDS_KEPT {
                         if let Some(old) = self.idem_order.pop_front() {
                             self.idem.remove(&old);
                         }
@@ -297,41 +297,41 @@
             .is_some_and(|l| l.holder == holder && l.epoch == epoch && l.expires > now)
     }
 
-    /// Whether the lease at `key` is unexpired under `epoch`, whoever holds it (workers check
-    /// this before starting a task: the fence on the worker side).
+    /// Whether the lease at `key` has this `epoch` and has not expired, for any holder. Checked
+    /// before a task is started (fencing on the workers' side).
     pub fn epoch_valid(&self, key: &str, epoch: u64, now: Millis) -> bool {
         self.leases.get(key).is_some_and(|l| l.epoch == epoch && l.expires > now)
     }
 
-    /// Whether no later epoch of the lease at `key` was given out, expired or not: what a worker
-    /// asks before it extends task leases, so that tasks outlive an outage of the table in which
-    /// nobody can renew and nobody can take over.
+    /// Whether `epoch` is the latest one of the lease at `key`, expired or not. Checked before task
+    /// leases are extended, so that tasks survive an outage of the table, during which the lease
+    /// can neither be renewed nor be acquired by another instance.
     pub fn epoch_latest(&self, key: &str, epoch: u64) -> bool {
         self.leases.get(key).is_some_and(|l| l.epoch == epoch)
     }
 
-    /// Notes that `key` changed now, for feeds.
-    fn touch(&mut self, key: &str, removed: bool) {
+    /// Records in the change history that `key` was written or removed.
+    fn record_change(&mut self, key: &str, removed: bool) {
         self.revision += 1;
-        if let Some(old) = self.last.insert(key.to_string(), self.revision) {
+        if let Some(old) = self.last_change.insert(key.to_string(), self.revision) {
             self.changed.remove(&old);
-            self.graves.remove(&old);
+            self.tombstones.remove(&old);
         }
         self.changed.insert(self.revision, key.to_string());
         if removed {
-            self.graves.insert(self.revision);
+            self.tombstones.insert(self.revision);
         }
-        if self.graves.len() > HISTORY {
-            if let Some(old) = self.graves.pop_first() {
-                self.floor = old;
+        if self.tombstones.len() > TOMBSTONES_KEPT {
+            if let Some(old) = self.tombstones.pop_first() {
+                self.history_start = old;
                 if let Some(k) = self.changed.remove(&old) {
-                    self.last.remove(&k);
+                    self.last_change.remove(&k);
                 }
             }
         }
     }
 
-    fn attempt(&mut self, txn: &Txn, now: Millis) -> Outcome {
+    fn execute(&mut self, txn: &Txn, now: Millis) -> Outcome {
         for (i, c) in txn.conds.iter().enumerate() {
             let ok = match c {
                 Cond::Version { key, version } => {
@@ -346,8 +346,8 @@
                 return self.conflict(i, key);
             }
         }
-        // Lease operations are checked before anything is applied, so a failed one leaves the
-        // table untouched.
+        // All lease operations are checked before any operation is applied, so a failed one leaves
+        // the table unchanged.
         let base = txn.conds.len();
         for (i, op) in txn.ops.iter().enumerate() {
             let ok = match op {
@@ -377,11 +377,11 @@
                     let version = self.rows.get(key).map_or(0, |r| r.version) + 1;
                     self.rows.insert(key.clone(), Row { version, value: value.clone() });
                     versions.insert(key.clone(), version);
-                    self.touch(key, false);
+                    self.record_change(key, false);
                 }
                 Op::Delete { key } => {
                     if self.rows.remove(key).is_some() {
-                        self.touch(key, true);
+                        self.record_change(key, true);
                     }
                     versions.insert(key.clone(), 0);
                 }
@@ -403,7 +403,7 @@
                     epochs.push(*epoch);
                 }
                 Op::Release { key, epoch, .. } => {
-                    // The lease stays, expired, so that the next holder's epoch is higher.
+                    // The expired lease is kept, so that the next holder gets a higher epoch.
                     if let Some(l) = self.leases.get_mut(key) {
                         l.expires = now;
                     }
@@ -414,14 +414,14 @@
         Outcome::Committed { epochs, versions, replay: false }
     }
 
-    /// Takes one read of the budget.
+    /// Charges one read to the budget.
     fn charge_read(&mut self, now: Millis) -> Result<(), Throttled> {
-        self.budget.take(now, false)?;
+        self.budget.charge(now, false)?;
         self.counts.reads += 1;
         Ok(())
     }
 
-    /// Reads the rows at `keys` (absent ones are left out); one read of the budget.
+    /// Reads the rows at `keys`, absent ones left out; costs one read of the budget.
     pub fn get(
         &mut self,
         keys: &[String],
@@ -431,17 +431,17 @@
         Ok(keys.iter().filter_map(|k| self.rows.get(k).map(|r| (k.clone(), r.clone()))).collect())
     }
 
-    /// Reads every row whose key starts with `prefix`; one read of the budget.
+    /// Reads every row whose key starts with `prefix`; costs one read of the budget.
     pub fn scan(&mut self, prefix: &str, now: Millis) -> Result<BTreeMap<String, Row>, Throttled> {
         self.charge_read(now)?;
-        let found = under(&self.rows, prefix);
+        let found = with_prefix(&self.rows, prefix);
         Ok(found.map(|(k, r)| (k.clone(), r.clone())).collect())
     }
 
-    /// What changed under `prefix` since revision `since` (0: everything); one read of the
+    /// Changes under `prefix` since revision `since` (0: all rows); costs one read of the
     /// budget.
     pub fn feed(&mut self, prefix: &str, since: u64, now: Millis) -> Result<Feed, Throttled> {
-        if since == 0 || since < self.floor {
+        if since == 0 || since < self.history_start {
             let rows = self.scan(prefix, now)?;
             return Ok(Feed { revision: self.revision, reset: true, rows, gone: vec![] });
         }
@@ -461,23 +461,23 @@
         Ok(out)
     }
 
-    /// Reads every unexpired lease whose key starts with `prefix`; one read of the budget.
+    /// Reads every unexpired lease whose key starts with `prefix`; costs one read of the budget.
     pub fn leases(
         &mut self,
         prefix: &str,
         now: Millis,
     ) -> Result<BTreeMap<String, Lease>, Throttled> {
         self.charge_read(now)?;
-        let live = under(&self.leases, prefix).filter(|(_, l)| l.expires > now);
+        let live = with_prefix(&self.leases, prefix).filter(|(_, l)| l.expires > now);
         Ok(live.map(|(k, l)| (k.clone(), l.clone())).collect())
     }
 
-    /// A row without charging the budget: for the platform's own checks.
+    /// Reads a row without charging the budget, for the platform's own checks.
     pub fn peek(&self, key: &str) -> Option<&Row> {
         self.rows.get(key)
     }
 
-    /// Number of rows and of leases, for the state dump.
+    /// Numbers of rows, leases and idempotency records, for the state dump.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.rows.len(), self.leases.len(), self.idem.len())
     }
--- a/src/standin/tasks.rs
+++ b/src/standin/tasks.rs
@@ -1,16 +1,17 @@
-//! What travels between the holder of a shard and its workers: starts, polls, reports of ends.
+//! Messages between the holder of a shard and its workers: start orders, polls and reports of
+//! completions.
 
 use crate::kernel::clock::Millis;
 use crate::kernel::res::Resources;
 use serde::{Deserialize, Serialize};
 
-/// Most ended tasks in one poll answer of a shard.
+/// Maximum number of ended tasks in one poll answer of a shard.
 pub const ENDED_PAGE: usize = 500;
 
-/// What the platform says about one worker.
+/// The platform's description of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerInfo {
-    /// Its name, `<domain>-r<rack>-w<n>`.
+    /// Worker name, `<domain>-r<rack>-w<n>`.
     pub name: String,
     /// Failure domain.
     pub domain: String,
@@ -29,45 +30,45 @@
     pub attempt: u32,
     /// Worker name.
     pub worker: String,
-    /// Lease key of the shard whose holder placed it.
+    /// Lease key of the shard whose holder placed the task.
     pub lease: String,
     /// Fencing epoch of that lease.
     pub epoch: u64,
     /// Declared resources.
     pub demand: Resources,
-    /// Declared run time in ms; 0 runs until stopped (services).
+    /// Declared run time, ms; 0 for a task that runs until it is stopped (services).
     pub run_ms: u64,
     /// Share of the work already done and checkpointed, percent.
     #[serde(default)]
     pub saved: u8,
-    /// The order is good until then, platform ms; 0 for ever. Without an end an order held up on
-    /// the way could start a task on a worker that was given up for lost meanwhile.
+    /// Expiry of this order, platform ms; 0 for none. Without it, an order delayed in the network
+    /// could start a task on a worker that has been considered lost in the meantime.
     #[serde(default)]
     pub by: Millis,
-    /// Task lease: the worker kills the task unless the holder extends it within this, ms; 0
-    /// for none.
+    /// Duration of the task lease, ms; 0 for none. The worker kills the task if the shard's holder
+    /// does not extend the lease in time.
     #[serde(default)]
     pub hold_ms: u64,
 }
 
-/// Why a worker would not start a task.
+/// Why a start order was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StartRefusal {
-    /// The lease epoch is no longer current: the placer lost its shard.
+    /// The lease epoch is no longer current: the sender has lost its shard.
     StaleEpoch,
-    /// The table holds no placement of this task on this worker under this epoch (refused,
-    /// cancelled or placed elsewhere).
+    /// The table has no placement of this task on this worker under this epoch and attempt: the
+    /// task was refused, cancelled or placed on another worker.
     NotPlaced,
-    /// No such worker.
+    /// The platform has no worker of this name.
     UnknownWorker,
-    /// This attempt is already running here (a repeated start is answered, not run again).
+    /// This attempt, or a later one, is already running on the worker.
     AlreadyRunning,
-    /// This attempt, or a later one, has already ended here; its end will be reported.
+    /// This attempt, or a later one, has already ended on the worker; its completion is reported.
     AlreadyEnded,
-    /// The worker cannot be reached: nothing was started.
+    /// The worker cannot be reached; the task was not started.
     Unreachable,
-    /// The order came too late: nothing was started.
+    /// The order had expired; the task was not started.
     Late,
 }
 
@@ -76,7 +77,7 @@
 pub struct StartResult {
     /// Task id.
     pub task: String,
-    /// `None` when started.
+    /// Why the task was not started; `None` if it was.
     pub refused: Option<StartRefusal>,
 }
 
@@ -84,13 +85,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum How {
-    /// It did its work.
+    /// It completed its work.
     Done,
     /// It failed.
     Failed,
-    /// It was stopped on request, after a checkpoint.
+    /// It was stopped by an order, after a checkpoint.
     Stopped,
-    /// Nobody extended its task lease in time.
+    /// Its task lease expired.
     Lapsed,
 }
 
@@ -99,39 +100,39 @@
 pub struct Ended {
     /// Sequence number within the shard.
     pub seq: u64,
-    /// When the report became due, platform ms (the lag counts from here).
+    /// End of the task, platform ms; the report is sent after the usage lag.
     pub at: Millis,
     /// Task id.
     pub task: String,
-    /// Which start of it.
+    /// Attempt number of the task.
     pub attempt: u32,
     /// Worker name.
     pub worker: String,
-    /// How.
+    /// How the attempt ended.
     pub how: How,
     /// Share of the work done and checkpointed, percent.
     pub saved: u8,
 }
 
-/// What the holder of a shard asks of its workers each round.
+/// The request that the holder of a shard sends to its workers in each round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardPoll {
     /// Shard name, `<domain>-r<rack>`.
     pub shard: String,
     /// Fencing epoch held.
     pub epoch: u64,
-    /// Ends up to this sequence number are committed and may be forgotten.
+    /// Completions up to this sequence number are committed; the workers drop them.
     pub acked: u64,
-    /// Extends every task lease of the shard to this long from now, ms.
+    /// Every task lease of the shard is extended to this time from now, ms.
     pub hold_ms: u64,
-    /// Whether to list what runs now (after a takeover).
+    /// Whether to list the running tasks; set after a takeover.
     pub inventory: bool,
 }
 
 /// The workers' answer for one shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ShardReport {
-    /// The epoch was superseded: nothing was extended or acknowledged.
+    /// The epoch was superseded; no lease was extended and no completion acknowledged.
     pub stale: bool,
     /// Platform time of the answer, ms.
     pub now: Millis,
@@ -139,22 +140,22 @@
     pub ended: Vec<Ended>,
     /// Workers that could not be reached, whose task leases were not extended.
     pub cut: Vec<String>,
-    /// Tasks running now as (task, attempt, worker), if asked for.
+    /// Running tasks as (task, attempt, worker), if the poll requested an inventory.
     pub running: Vec<(String, u32, String)>,
 }
 
-/// Room of one rack, from the workers' lagging usage.
+/// Free capacity of one rack.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RackRoom {
     /// Shard name.
     pub shard: String,
-    /// Room in the rack.
+    /// Sum over the rack's workers.
     pub free: Resources,
-    /// Most room on one worker.
+    /// Largest free capacity of one worker, per resource.
     pub largest: Resources,
 }
 
-/// Name of the shard of a worker: one rack of one failure domain.
+/// Name of a worker's shard; a shard is one rack of one failure domain.
 pub fn shard_of(info: &WorkerInfo) -> String {
     format!("{}-r{}", info.domain, info.rack)
 }
--- a/src/standin/workers.rs
+++ b/src/standin/workers.rs
@@ -1,18 +1,18 @@
-//! Workers of one failure domain in the platform stand-in: they start tasks under the shard's
-//! lease epoch, run them for their (mis-declared) time under a task lease that the shard's
-//! holder extends, and report ends with a lag, again and again until they are acknowledged.
+//! Workers of one failure domain in the platform stand-in. A worker runs a task for a time that
+//! differs from the declared one, under a task lease that the shard's holder extends. Completions
+//! are reported with a lag, and repeated until they are acknowledged.
 
 use crate::kernel::arena::{Arena, WorkerKey};
 use crate::kernel::clock::Millis;
 use crate::kernel::res::Resources;
-use crate::standin::faults::Struck;
+use crate::standin::faults::Affected;
 use crate::standin::tasks::{
     shard_of, Ended, How, RackRoom, ShardPoll, ShardReport, StartRefusal, StartReq, WorkerInfo,
     ENDED_PAGE,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How long a broken worker takes to fail a task, ms.
+/// Run time of a task on a broken worker before it fails, ms.
 const BROKEN_MS: Millis = 10;
 
 #[derive(Clone, Debug)]
@@ -30,8 +30,8 @@
         let Some(end) = self.end else { return self.saved };
         let total = end.saturating_sub(self.start).max(1);
         let ran = now.saturating_sub(self.start).min(total);
-        let left = u64::from(100 - self.saved.min(100));
-        self.saved + (left * ran / total) as u8
+        let remaining = u64::from(100 - self.saved.min(100));
+        self.saved + (remaining * ran / total) as u8
     }
 }
 
@@ -42,14 +42,14 @@
     used: Resources,
     broken: bool,
     cut: bool,
-    hold: Option<Millis>,
-    seen: BTreeMap<String, u32>,
+    lease_until: Option<Millis>,
+    latest_attempt: BTreeMap<String, u32>,
     backlog: Vec<Ended>,
 }
 
 impl Worker {
     fn extend(&mut self, until: Millis) {
-        self.hold = Some(self.hold.map_or(until, |h| h.max(until)));
+        self.lease_until = Some(self.lease_until.map_or(until, |h| h.max(until)));
     }
 }
 
@@ -59,20 +59,20 @@
     ended: VecDeque<Ended>,
 }
 
-/// The workers of one failure domain, with the oracle counters that tests read.
+/// The workers of one failure domain, with counters of broken invariants that tests read.
 #[derive(Debug, Default)]
 pub struct Workers {
     arena: Arena<WorkerKey, Worker>,
     names: BTreeMap<String, WorkerKey>,
-    ends: BTreeSet<(Millis, WorkerKey, String)>,
+    due: BTreeSet<(Millis, WorkerKey, String)>,
     reports: BTreeMap<String, Reports>,
     tasks: BTreeMap<String, WorkerKey>,
     poison: BTreeSet<String>,
     /// Tasks started.
     pub started: u64,
-    /// Tasks that lapsed because nobody extended their lease.
+    /// Tasks killed because their task lease expired.
     pub lapsed: u64,
-    /// Workers that at some moment ran more than their capacity (must stay empty).
+    /// Workers that ran beyond their capacity at any time (must stay empty).
     pub overcommitted: BTreeSet<String>,
 }
 
@@ -91,8 +91,8 @@
                     used: Resources::ZERO,
                     broken: false,
                     cut: false,
-                    hold: None,
-                    seen: BTreeMap::new(),
+                    lease_until: None,
+                    latest_attempt: BTreeMap::new(),
                     backlog: Vec::new(),
                 });
                 w.names.insert(name, key);
@@ -101,49 +101,50 @@
         w
     }
 
-    /// Every worker's description.
+    /// Descriptions of all workers.
     pub fn list(&self) -> Vec<WorkerInfo> {
         self.arena.iter().map(|(_, w)| w.info.clone()).collect()
     }
 
-    /// Sets which workers and jobs faults strike.
-    pub fn set_faults(&mut self, struck: &Struck) {
-        self.poison.clone_from(&struck.poison);
+    /// Sets the workers and jobs affected by faults. A worker that is reachable again reports the
+    /// completions that it kept meanwhile.
+    pub fn set_faults(&mut self, affected: &Affected) {
+        self.poison.clone_from(&affected.poison);
         for (_, w) in self.arena.iter_mut() {
-            w.broken = struck.broken.contains(&w.info.name);
-            let back = w.cut && !struck.cut.contains(&w.info.name);
-            w.cut = struck.cut.contains(&w.info.name);
-            if back {
-                let late = std::mem::take(&mut w.backlog);
+            w.broken = affected.broken.contains(&w.info.name);
+            let reconnected = w.cut && !affected.cut.contains(&w.info.name);
+            w.cut = affected.cut.contains(&w.info.name);
+            if reconnected {
+                let delayed = std::mem::take(&mut w.backlog);
                 let shard = shard_of(&w.info);
                 let r = self.reports.entry(shard).or_default();
-                late.into_iter().for_each(|e| r.push(e));
+                delayed.into_iter().for_each(|e| r.push(e));
             }
         }
     }
 
-    /// Ends every task whose time has come and kills those whose task lease ran out.
+    /// Ends all tasks whose run time is over at `now`, and kills those whose task lease expired.
     pub fn tick(&mut self, now: Millis) {
-        while let Some((at, k, task)) = self.ends.first().cloned() {
+        while let Some((at, k, task)) = self.due.first().cloned() {
             if at > now {
                 break;
             }
-            // A task whose lease ran out before its end was killed then, not done.
-            match self.arena.get(k).hold {
-                Some(h) if h < at => self.lapse(k, h),
+            // A lease that expired before the end of the run killed the task at that time.
+            match self.arena.get(k).lease_until {
+                Some(h) if h < at => self.expire_lease(k, h),
                 _ => self.finish(k, &task, at, How::Done),
             }
         }
-        let lapsed: Vec<(WorkerKey, Millis)> = self
+        let expired: Vec<(WorkerKey, Millis)> = self
             .arena
             .iter()
             .filter(|(_, w)| !w.running.is_empty())
-            .filter_map(|(k, w)| Some((k, w.hold.filter(|&h| h <= now)?)))
+            .filter_map(|(k, w)| Some((k, w.lease_until.filter(|&h| h <= now)?)))
             .collect();
-        lapsed.into_iter().for_each(|(k, h)| self.lapse(k, h));
+        expired.into_iter().for_each(|(k, h)| self.expire_lease(k, h));
     }
 
-    fn lapse(&mut self, k: WorkerKey, at: Millis) {
+    fn expire_lease(&mut self, k: WorkerKey, at: Millis) {
         let tasks: Vec<String> = self.arena.get(k).running.keys().cloned().collect();
         self.lapsed += tasks.len() as u64;
         tasks.iter().for_each(|t| self.finish(k, t, at, How::Lapsed));
@@ -153,7 +154,7 @@
         let w = self.arena.get_mut(k);
         let Some(run) = w.running.remove(task) else { return };
         if let Some(end) = run.end {
-            self.ends.remove(&(end, k, task.to_string()));
+            self.due.remove(&(end, k, task.to_string()));
         }
         w.used = w.used.sub(&run.demand);
         self.tasks.remove(task);
@@ -185,9 +186,9 @@
         }
     }
 
-    /// Starts one task whose fence and placement the caller has checked.
+    /// Starts one task. The caller has checked the lease epoch and the placement.
     ///
-    /// `factor_pct` scales the declared run time (declared times are far off).
+    /// `factor_pct` scales the declared run time, because declared times are far from real ones.
     pub fn start(&mut self, req: &StartReq, now: Millis, factor_pct: u64) -> Option<StartRefusal> {
         let Some(&k) = self.names.get(&req.worker) else {
             return Some(StartRefusal::UnknownWorker);
@@ -202,15 +203,15 @@
         if w.running.get(&req.task).is_some_and(|r| r.attempt >= req.attempt) {
             return Some(StartRefusal::AlreadyRunning);
         }
-        if w.seen.get(&req.task).is_some_and(|&a| a >= req.attempt) {
+        if w.latest_attempt.get(&req.task).is_some_and(|&a| a >= req.attempt) {
             return Some(StartRefusal::AlreadyEnded);
         }
         let total = (req.run_ms * factor_pct / 100).max(1);
-        let left = total * u64::from(100 - req.saved.min(100)) / 100;
+        let remaining = total * u64::from(100 - req.saved.min(100)) / 100;
         let end = match (w.broken, req.run_ms) {
             (true, _) => Some(now + BROKEN_MS),
             (false, 0) => None,
-            (false, _) => Some(now + left.max(1)),
+            (false, _) => Some(now + remaining.max(1)),
         };
         w.used = w.used.add(&req.demand);
         if !w.used.fits(&w.info.cap) {
@@ -227,18 +228,18 @@
             saved: req.saved.min(100),
         };
         w.running.insert(req.task.clone(), run);
-        w.seen.insert(req.task.clone(), req.attempt);
+        w.latest_attempt.insert(req.task.clone(), req.attempt);
         self.tasks.insert(req.task.clone(), k);
         if let Some(at) = end {
-            self.ends.insert((at, k, req.task.clone()));
+            self.due.insert((at, k, req.task.clone()));
         }
         self.started += 1;
         None
     }
 
-    /// Stops attempt `attempt` of a task after a checkpoint; false when the worker cannot be
-    /// reached. The stop is always reported as [`How::Stopped`], also for an attempt that never
-    /// got here: a start of it that arrives later is refused.
+    /// Stops attempt `attempt` of a task after a checkpoint; false if the worker cannot be
+    /// reached. [`How::Stopped`] is reported even if the start order of the attempt never arrived;
+    /// a start order that arrives later is refused.
     pub fn stop(&mut self, task: &str, attempt: u32, worker: &str, now: Millis) -> bool {
         let Some(&k) = self.names.get(worker) else { return false };
         let w = self.arena.get_mut(k);
@@ -247,9 +248,9 @@
         }
         if w.running.get(task).is_some_and(|r| r.attempt == attempt) {
             self.finish(k, task, now, How::Stopped);
-        } else if w.seen.get(task).is_none_or(|&a| a < attempt) {
-            w.seen.insert(task.to_string(), attempt);
-            let never = Ended {
+        } else if w.latest_attempt.get(task).is_none_or(|&a| a < attempt) {
+            w.latest_attempt.insert(task.to_string(), attempt);
+            let unstarted = Ended {
                 seq: 0,
                 at: now,
                 task: task.to_string(),
@@ -259,13 +260,13 @@
                 saved: 0,
             };
             let shard = shard_of(&w.info);
-            self.reports.entry(shard).or_default().push(never);
+            self.reports.entry(shard).or_default().push(unstarted);
         }
         true
     }
 
-    /// One shard's poll: extends task leases, forgets acknowledged ends, lists the others once
-    /// they are older than `lag`.
+    /// Handles the poll of one shard: extends task leases, drops acknowledged completions and
+    /// returns the others that are older than `lag`.
     pub fn poll(&mut self, p: &ShardPoll, now: Millis, lag: Millis) -> ShardReport {
         let mut out = ShardReport { now, ..ShardReport::default() };
         for (_, w) in self.arena.iter_mut().filter(|(_, w)| shard_of(&w.info) == p.shard) {
@@ -275,30 +276,30 @@
             }
             w.extend(now + p.hold_ms);
             if p.inventory {
-                let here =
+                let listed =
                     w.running.iter().map(|(t, r)| (t.clone(), r.attempt, w.info.name.clone()));
-                out.running.extend(here);
+                out.running.extend(listed);
             }
         }
         let r = self.reports.entry(p.shard.clone()).or_default();
         while r.ended.front().is_some_and(|e| e.seq <= p.acked) {
             if let Some(e) = r.ended.pop_front() {
                 if let Some(&k) = self.names.get(&e.worker) {
-                    // The table no longer names this attempt, so no start of it can pass the
-                    // placement check: the worker need not remember it.
-                    let seen = &mut self.arena.get_mut(k).seen;
-                    if seen.get(&e.task) == Some(&e.attempt) {
-                        seen.remove(&e.task);
+                    // The completion is committed and the placement row of this attempt is gone,
+                    // so the placement check refuses any start order of it.
+                    let latest_attempt = &mut self.arena.get_mut(k).latest_attempt;
+                    if latest_attempt.get(&e.task) == Some(&e.attempt) {
+                        latest_attempt.remove(&e.task);
                     }
                 }
             }
         }
-        let due = r.ended.iter().take_while(|e| e.at + lag <= now).take(ENDED_PAGE);
-        out.ended = due.cloned().collect();
+        let visible = r.ended.iter().take_while(|e| e.at + lag <= now).take(ENDED_PAGE);
+        out.ended = visible.cloned().collect();
         out
     }
 
-    /// Room per rack, from what runs now.
+    /// Free capacity per rack of the reachable workers.
     pub fn rooms(&self) -> Vec<RackRoom> {
         let mut racks: BTreeMap<String, RackRoom> = BTreeMap::new();
         for (_, w) in self.arena.iter().filter(|(_, w)| !w.cut) {
@@ -315,17 +316,17 @@
         racks.into_values().collect()
     }
 
-    /// Whether `task` runs on some worker of this domain now.
-    pub fn holds(&self, task: &str) -> bool {
+    /// Whether `task` runs on any worker of this domain.
+    pub fn runs_task(&self, task: &str) -> bool {
         self.tasks.contains_key(task)
     }
 
-    /// Tasks running now, by task id, with their worker.
+    /// Running tasks as (task id, worker name).
     pub fn running(&self) -> impl Iterator<Item = (&String, &String)> {
         self.arena.iter().flat_map(|(_, w)| w.running.keys().map(move |t| (t, &w.info.name)))
     }
 
-    /// Number of running tasks and committed resources per worker, for the state dump.
+    /// Name, number of running tasks and resources in use of each worker, for the state dump.
     pub fn usage(&self) -> Vec<(String, usize, Resources)> {
         self.arena.iter().map(|(_, w)| (w.info.name.clone(), w.running.len(), w.used)).collect()
     }
