--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,5 +1,5 @@
-//! What every daemon serves besides its own API: `/metrics` (Prometheus text) and
-//! `/debug/state` (JSON dump), plus an HTTP listener that drains requests in flight on stop.
+//! Functions shared by the HTTP APIs of all daemons: the metrics recorder, JSON answers, and an
+//! HTTP listener that waits for the requests in flight on stop, for a bounded time.
 
 use crate::http;
 use crate::kernel::clock::Clock;
@@ -13,12 +13,14 @@
 
 static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Upper bounds of the buckets of every histogram, s: from a call on one machine to a caller's
-/// patience, in steps of about two. Buckets, unlike quantiles, add up over instances.
+/// Upper bounds of the buckets of every histogram, s: from a call on one machine to the time after
+/// which callers give up, in factors of about two. Buckets can be summed over instances, quantiles
+/// cannot.
 const BUCKETS: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0];
 
-/// Installs the process's metrics recorder once and returns its handle.
+/// Installs the process's metrics recorder on the first call and returns its handle; `None` if that
+/// failed.
 pub fn metrics() -> Option<&'static PrometheusHandle> {
     RECORDER
         .get_or_init(|| {
@@ -28,23 +30,23 @@
         .as_ref()
 }
 
-/// The Prometheus text of every metric of the process.
+/// The answer to `/metrics`: all metrics of the process as Prometheus text.
 pub fn render() -> String {
     metrics().map(|h| h.render()).unwrap_or_default()
 }
 
-/// Counts requests in flight, so that a stopping server can wait for them, and asks callers to
-/// close their connections once it drains.
+/// Middleware that counts the requests in flight, so that a stopping server can wait for them, and
+/// tells clients to close their connections after the stop.
 #[derive(Clone, Debug)]
 struct InFlight {
     count: Arc<AtomicUsize>,
     stop: Stop,
 }
 
-/// Takes a request off the count however its handler ends.
-struct Counted(Arc<AtomicUsize>);
+/// Decrements the count when dropped, also if the handler is cancelled or panics.
+struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -54,9 +56,9 @@
 impl<S: Clone + Send + Sync + 'static> tide::Middleware<S> for InFlight {
     async fn handle(&self, req: tide::Request<S>, next: tide::Next<'_, S>) -> tide::Result {
         self.count.fetch_add(1, Ordering::SeqCst);
-        let counted = Counted(self.count.clone());
+        let guard = InFlightGuard(self.count.clone());
         let mut res = next.run(req).await;
-        drop(counted);
+        drop(guard);
         if self.stop.fired() {
             res.insert_header("Connection", "close");
         }
@@ -64,16 +66,17 @@
     }
 }
 
-/// How a listener stops.
+/// Time limits of a stopping listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    /// Goes on accepting this long after the stop, until the balancer has seen `/ready` fail, ms.
+    /// Time for which connections are accepted after the stop, until the load balancer has seen
+    /// `/ready` fail, ms.
     pub linger_ms: u64,
-    /// Then waits this long at most for requests in flight, ms.
+    /// Time limit for the requests in flight after that, ms.
     pub drain_ms: u64,
 }
 
-/// Time for the last answers to leave the process before it ends, ms.
+/// Delay before the process ends, so that the last answers can be sent, ms.
 const FLUSH_MS: u64 = 50;
 
 /// Errors of the HTTP listener.
@@ -84,7 +87,7 @@
     Bind {
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The listener failed while accepting.
@@ -92,7 +95,8 @@
     Accept(std::io::Error),
 }
 
-/// A bound listener: its address, and a future that serves until `stop` and then drains.
+/// Binds a listener. Returns its address, and a future that serves until `stop` and then waits for
+/// the requests in flight.
 pub async fn bind<S: Clone + Send + Sync + 'static>(
     mut app: tide::Server<S>,
     addr: SocketAddr,
@@ -100,9 +104,9 @@
     clock: Clock,
     drain: Drain,
 ) -> Result<(SocketAddr, impl std::future::Future<Output = Result<(), ServeError>>), ServeError> {
-    let flight = InFlight { count: Arc::default(), stop: stop.clone() };
-    let count = flight.count.clone();
-    app.with(flight);
+    let in_flight = InFlight { count: Arc::default(), stop: stop.clone() };
+    let count = in_flight.count.clone();
+    app.with(in_flight);
     let failed = |source| ServeError::Bind { addr, source };
     let socket = http::listen(addr).map_err(failed)?;
     let bound = socket.local_addr().map_err(failed)?;
@@ -118,8 +122,8 @@
                 return res.map_err(ServeError::Accept);
             }
         }
-        // Graceful shutdown: the socket is closed, so no new connection is taken into a backlog
-        // that nobody serves; requests in flight run to their end (bounded by `drain_ms`).
+        // Graceful shutdown: the socket is closed, so that no connection waits unserved in the
+        // backlog. Requests in flight are finished, for at most `drain_ms`.
         drop(listener);
         let drained = clock.timeout(drain.drain_ms, async {
             while count.load(Ordering::SeqCst) > 0 {
@@ -133,7 +137,7 @@
     Ok((bound, serve))
 }
 
-/// A JSON answer with `status`.
+/// A JSON answer with `status`, or 500 if `body` cannot be serialized.
 pub fn json(status: u16, body: &impl serde::Serialize) -> tide::Response {
     let mut res = tide::Response::new(status);
     match tide::Body::from_json(body) {
@@ -143,7 +147,7 @@
     res
 }
 
-/// The answer with a `Retry-After` of `retry_ms`, if there is one, in whole seconds and at least one.
+/// Adds a `Retry-After` header for `retry_ms`, if present, in whole seconds and at least one.
 pub fn with_retry(mut res: tide::Response, retry_ms: Option<u64>) -> tide::Response {
     if let Some(ms) = retry_ms {
         res.insert_header("Retry-After", ms.div_ceil(1000).max(1).to_string());
--- a/src/bin/currantgw.rs
+++ b/src/bin/currantgw.rs
@@ -1,4 +1,4 @@
-//! The `currantgw` command: a thin shell over the library's command line.
+//! The `currantgw` command; calls the command line of the library.
 
 #[async_std::main]
 async fn main() -> eyre::Result<()> {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: one binary with a subcommand per role and per operator action.
+//! The command line: one subcommand for each role of a process and each operator action.
 
 use crate::control::settings::NodeSettings;
 use crate::kernel::clock::Clock;
@@ -10,24 +10,24 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Names the settings file of an instance on the platform.
+/// Environment variable with the path of the settings file of a control plane instance.
 const SETTINGS_ENV: &str = "CURRANTGW_CONFIG";
 
 /// currantgw: cluster scheduler and request gateway for unlike workloads on one shared cell.
 #[derive(FromArgs, Debug)]
 pub struct Args {
-    /// settings file of the cell (JSON); the embedded example cell when absent
+    /// settings file of the cell (JSON); by default the embedded example cell
     #[argh(option)]
     pub settings: Option<PathBuf>,
     /// log level: error, warn, info, debug (default info)
     #[argh(option, default = "log::LevelFilter::Info")]
     pub log: log::LevelFilter,
-    /// what to do
+    /// subcommand to run
     #[argh(subcommand)]
     pub cmd: Cmd,
 }
 
-/// Subcommands.
+/// The subcommands.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Cmd {
@@ -60,7 +60,7 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "serve")]
 pub struct ServeCmd {
-    /// settings file of the instance (JSON); the one that CURRANTGW_CONFIG names when absent
+    /// settings file of the instance (JSON); by default the one that CURRANTGW_CONFIG names
     #[argh(option)]
     pub node: Option<PathBuf>,
 }
@@ -105,7 +105,7 @@
     /// address of an entry instance
     #[argh(option)]
     pub entry: SocketAddr,
-    /// job file
+    /// job file (JSON)
     #[argh(positional)]
     pub file: PathBuf,
 }
@@ -117,7 +117,7 @@
     /// address of an entry instance
     #[argh(option)]
     pub entry: SocketAddr,
-    /// key
+    /// key to look up
     #[argh(positional)]
     pub key: String,
 }
@@ -150,7 +150,7 @@
     /// jobs submitted per second (default 10)
     #[argh(option, default = "10")]
     pub jobs: u32,
-    /// fault plan to post to the platform first (JSON list)
+    /// fault plan to add to the platform before the load (JSON list)
     #[argh(option)]
     pub faults: Option<PathBuf>,
 }
@@ -166,11 +166,11 @@
 }
 
 async fn run_node(c: &ServeCmd, level: log::LevelFilter) -> eyre::Result<()> {
-    let named = std::env::var_os(SETTINGS_ENV).map(PathBuf::from);
+    let from_env = std::env::var_os(SETTINGS_ENV).map(PathBuf::from);
     let path = c
         .node
         .clone()
-        .or(named)
+        .or(from_env)
         .ok_or_else(|| eyre::eyre!("name a settings file with --node or {SETTINGS_ENV}"))?;
     let settings = NodeSettings::load(&path)?;
     crate::logs::init_stdout("control", &settings.id, level)?;
@@ -182,17 +182,17 @@
     res
 }
 
-/// On each SIGHUP reads the settings again and says what of them changed. What a running instance
-/// is bound to (addresses, bounds) takes effect at its next start.
-async fn reload(mut hups: signal_hook_async_std::Signals, path: PathBuf, mut held: NodeSettings) {
+/// Reads the settings again on each SIGHUP and logs whether they changed. A running instance keeps
+/// its settings; changed ones take effect at its next start.
+async fn reload(mut hups: signal_hook_async_std::Signals, path: PathBuf, mut last: NodeSettings) {
     use futures::StreamExt;
     while hups.next().await.is_some() {
         match NodeSettings::load(&path) {
             Ok(new) => {
-                log::info!(changed = new != held, path:% = path.display(); "settings reloaded");
-                held = new;
+                log::info!(changed = new != last, path:% = path.display(); "settings reloaded");
+                last = new;
             }
-            Err(e) => log::error!(why:% = e; "settings not reloaded, the last ones stay"),
+            Err(e) => log::error!(why:% = e; "settings not reloaded; previous ones kept"),
         }
     }
 }
@@ -289,7 +289,7 @@
     crate::runner::Runner::new(addr.clone(), cell.runner.clone(), clock).serve(stop).await
 }
 
-/// Prints the catalogue, or applies an edit against the version in force.
+/// Prints the catalogue, or applies an edit to the present version.
 async fn catalogue(c: CatalogueCmd) -> eyre::Result<()> {
     let url = format!("http://{}/catalogue", c.entry);
     match (c.action.as_str(), c.file) {
@@ -307,7 +307,7 @@
 
 async fn smoke(cell: &Cell, c: SmokeCmd) -> eyre::Result<()> {
     let faults = c.faults.as_deref().map(read_json).transpose()?.unwrap_or_default();
-    let knobs = crate::smoke::Knobs {
+    let options = crate::smoke::Options {
         seconds: c.seconds,
         lookers: c.lookers,
         writers: c.writers,
@@ -315,9 +315,9 @@
         jobs: c.jobs,
         faults,
     };
-    let report = crate::smoke::run(cell, &knobs).await?;
+    let report = crate::smoke::run(cell, &options).await?;
     println!("{}", serde_json::to_string_pretty(&report)?);
-    if !report.promises_kept() {
+    if !report.invariants_hold() {
         eyre::bail!("a promise was broken: see the report");
     }
     Ok(())
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP clients and listener that every process uses, with `TCP_NODELAY` on both ends.
 //!
-//! Without it a body, written after its head, waits for the peer's delayed acknowledgement of
-//! the head: noticed as some 40 ms added to every call that carries a body.
+//! Without that option a body, which is written after its head, waits for the remote side's delayed
+//! acknowledgement of the head. Visible as some 40 ms more for every call with a body.
 
 use crate::kernel::clock::Clock;
 use async_std::net::TcpStream;
@@ -14,75 +14,78 @@
 
 pub use tide::http::Method;
 
-/// Longest wait for a connection to open, ms. An address behind a partition never answers; a
-/// live one of the same region does within a few ms.
+/// Time limit for opening a connection, ms. An address behind a network partition never answers; a
+/// live one in the same region answers within a few ms.
 const CONNECT_MS: u64 = 400;
 
-/// Unacknowledged bytes or probes end a connection after this long, ms: otherwise one whose
-/// path has died stays open for many minutes.
-const DEAD_PEER_MS: u64 = 4_000;
+/// A connection is closed if sent data stays unacknowledged for this time, ms. Without it, a
+/// connection whose network path is lost stays open for many minutes.
+const UNACKED_MS: u64 = 4_000;
 
-/// An answer that keeps arriving is given up after this many times the time that its head may
-/// take: bounds a call to a peer that sends a byte now and then.
-const MOST_WAITS: u64 = 10;
+/// Time limit for a whole answer, as a multiple of the limit for its head. Bounds a call to a server
+/// that sends its answer very slowly.
+const MAX_ANSWER_WAITS: u64 = 10;
 
-/// Bytes of a body taken in at once.
-const PIECE: usize = 16 * 1024;
+/// Size of the buffer for reading a body, bytes.
+const READ_BYTES: usize = 16 * 1024;
 
-/// Idle connections kept per address; the rest are closed.
+/// Maximum number of idle connections per address; further ones are closed.
 const IDLE_PER_ADDR: usize = 16;
 
-/// An HTTP/1.1 client that pools its connections (command line and stand-ins).
+/// An HTTP/1.1 client with a connection pool, for the command line, the load driver and the client
+/// of the platform stand-in.
 pub fn client() -> surf::Client {
     let config = surf::Config::new().set_tcp_no_delay(true);
     config.try_into().unwrap_or_else(|_| surf::Client::new())
 }
 
-/// A listener on `addr`; accepted sockets inherit `TCP_NODELAY` from it.
+/// A listener on `addr`; accepted sockets inherit `TCP_NODELAY` and the user timeout from it.
 pub fn listen(addr: SocketAddr) -> std::io::Result<async_std::net::TcpListener> {
     let socket = std::net::TcpListener::bind(addr)?;
     let sock = socket2::SockRef::from(&socket);
     sock.set_tcp_nodelay(true)?;
-    sock.set_tcp_user_timeout(Some(Duration::from_millis(DEAD_PEER_MS)))?;
+    sock.set_tcp_user_timeout(Some(Duration::from_millis(UNACKED_MS)))?;
     Ok(async_std::net::TcpListener::from(socket))
 }
 
-/// Opens a connection with `TCP_NODELAY` that notices a dead peer.
+/// Opens a connection with `TCP_NODELAY` that is closed if the remote side is unreachable for
+/// [`UNACKED_MS`].
 pub async fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
     let sock = socket2::SockRef::from(&stream);
-    sock.set_tcp_user_timeout(Some(Duration::from_millis(DEAD_PEER_MS)))?;
+    sock.set_tcp_user_timeout(Some(Duration::from_millis(UNACKED_MS)))?;
     Ok(stream)
 }
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection could be opened: the call was not sent.
+    /// No connection could be opened; the call was not sent.
     #[error("cannot connect: {0}")]
     Connect(String),
-    /// No whole answer in time: the call may have been carried out, or may be later.
+    /// No complete answer in time; the call may have taken effect, or may do so later.
     #[error("timed out")]
     Timeout,
-    /// The connection broke after the call was sent: as for a timeout.
+    /// The connection broke after the call was sent; the call may have taken effect, or may do so
+    /// later.
     #[error("connection broke: {0}")]
     Broken(String),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Body, read to its end.
     pub body: Vec<u8>,
 }
 
-/// A client with kept connections, for calls whose answers may be late or lost.
+/// A client with a connection pool, for calls whose answers may be late or lost.
 ///
-/// A connection goes back to the pool only once its answer has been read to the end. A pool that
-/// takes back a connection whose call was given up would hand the late answer to the next call.
+/// A connection returns to the pool only after its answer has been read to the end. If it returned
+/// after a timeout, the next call would receive the late answer to the previous one.
 #[derive(Clone, Debug)]
 pub struct Conns {
     idle: Arc<Mutex<BTreeMap<SocketAddr, Vec<TcpStream>>>>,
@@ -90,7 +93,7 @@
 }
 
 impl Conns {
-    /// A client on `clock`.
+    /// A client without connections; its timeouts use `clock`.
     pub fn new(clock: Clock) -> Self {
         Self { idle: Arc::default(), clock }
     }
@@ -99,7 +102,7 @@
         self.idle.lock().unwrap().get_mut(&addr)?.pop()
     }
 
-    fn give(&self, addr: SocketAddr, stream: TcpStream) {
+    fn put_back(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.lock().unwrap();
         let kept = idle.entry(addr).or_default();
         if kept.len() < IDLE_PER_ADDR {
@@ -107,9 +110,9 @@
         }
     }
 
-    /// Closes the kept connections to `addr`. Connections can go silent all at once, so after
-    /// one call without an answer the next ones must not wait on the others.
-    fn forget(&self, addr: SocketAddr) {
+    /// Closes the idle connections to `addr`. All connections to an address can become unresponsive
+    /// together, so the calls after one without an answer open new ones.
+    fn close_idle(&self, addr: SocketAddr) {
         self.idle.lock().unwrap().remove(&addr);
     }
 
@@ -127,14 +130,14 @@
         self.send(addr, req.map_err(|e| CallError::Connect(e.to_string()))?, ms, ms).await
     }
 
-    /// Asks `addr` for something large, waiting at most `ms` for the head of the answer, and as long
-    /// for each further piece of it. A time for the whole would depend on its size and on the link:
-    /// over a link of 10 Mbit/s an answer of 2 MB takes 1.6 s, and one that is given up before is
-    /// asked for again, which fills the link with answers that nobody takes.
+    /// Reads a large answer from `addr`: waits at most `ms` for its head and for each further part,
+    /// and [`MAX_ANSWER_WAITS`] times `ms` for all of it. A limit of `ms` for the whole would depend
+    /// on the size and the network: at 10 Mbit/s an answer of 2 MB takes 1.6 s. If it timed out
+    /// earlier, the request would be repeated, and unused answers would fill the network.
     pub async fn fetch(&self, addr: SocketAddr, path: &str, ms: u64) -> Result<Reply, CallError> {
         let req = request(addr, Method::Get, path, &[], None);
         let req = req.map_err(|e| CallError::Connect(e.to_string()))?;
-        self.send(addr, req, ms, ms * MOST_WAITS).await
+        self.send(addr, req, ms, ms * MAX_ANSWER_WAITS).await
     }
 
     async fn send(
@@ -151,20 +154,20 @@
         let whole = self.exchange(stream.clone(), req, ms);
         let sent = self.clock.timeout(whole_ms, whole).await;
         match sent.unwrap_or(Err(CallError::Timeout)) {
-            Ok((reply, again)) => {
-                if again {
-                    self.give(addr, stream);
+            Ok((reply, reusable)) => {
+                if reusable {
+                    self.put_back(addr, stream);
                 }
                 Ok(reply)
             }
             Err(e) => {
-                self.forget(addr);
+                self.close_idle(addr);
                 Err(e)
             }
         }
     }
 
-    /// Sends `req` and reads the whole answer; true if the connection can be used again.
+    /// Sends `req` and reads the whole answer; the flag tells whether the connection can be reused.
     async fn exchange(
         &self,
         stream: TcpStream,
@@ -177,12 +180,12 @@
         let close = res.header("Connection").is_some_and(|v| v.as_str() == "close");
         let status = res.status().into();
         let mut from = res.take_body();
-        let (mut body, mut piece) = (Vec::new(), vec![0; PIECE]);
+        let (mut body, mut buffer) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
-            let read = self.clock.timeout(ms, from.read(&mut piece)).await.map_err(late)?;
+            let read = self.clock.timeout(ms, from.read(&mut buffer)).await.map_err(late)?;
             match read.map_err(|e| CallError::Broken(e.to_string()))? {
                 0 => return Ok((Reply { status, body }, !close)),
-                n => body.extend_from_slice(&piece[..n]),
+                n => body.extend_from_slice(&buffer[..n]),
             }
         }
     }
--- a/src/kernel/arena.rs
+++ b/src/kernel/arena.rs
@@ -1,9 +1,9 @@
-//! Typed `Copy` keys into arenas (plain vectors that never shrink while in use).
+//! Arenas: vectors addressed by typed `Copy` keys. Items are never removed, so keys stay valid.
 
 use serde::{Deserialize, Serialize};
 use std::marker::PhantomData;
 
-/// Declares a small `Copy` key type that indexes an [`Arena`].
+/// Declares a `Copy` key type, a `u32` index into an [`Arena`].
 #[macro_export]
 macro_rules! arena_key {
     ($(#[$meta:meta])* $name:ident) => {
@@ -29,7 +29,7 @@
 }
 
 arena_key!(
-    /// A worker in an arena of workers (platform stand-in and entry scheduler alike).
+    /// A worker in an arena of workers; used by the platform stand-in and the entry's scheduler.
     WorkerKey
 );
 
@@ -54,12 +54,12 @@
         K::from(self.items.len() - 1)
     }
 
-    /// The item under `k`; panics on a key from another arena of other length.
+    /// The item under `k`; panics if `k` is out of range, as a key of another arena can be.
     pub fn get(&self, k: K) -> &V {
         &self.items[k.into()]
     }
 
-    /// The item under `k`, mutably.
+    /// The item under `k`, mutable; panics if `k` is out of range.
     pub fn get_mut(&mut self, k: K) -> &mut V {
         &mut self.items[k.into()]
     }
@@ -69,7 +69,7 @@
         self.items.len()
     }
 
-    /// Whether the arena holds nothing.
+    /// Whether the arena has no items.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -79,7 +79,7 @@
         self.items.iter().enumerate().map(|(i, v)| (K::from(i), v))
     }
 
-    /// Keys and items in key order, mutably.
+    /// Keys and mutable items in key order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut V)> {
         self.items.iter_mut().enumerate().map(|(i, v)| (K::from(i), v))
     }
--- a/src/kernel/clock.rs
+++ b/src/kernel/clock.rs
@@ -1,8 +1,8 @@
-//! The one clock edge of a process: real time, or a manual clock that tests pause and advance.
+//! The clock of a process: real time, or a manual clock that tests advance.
 //!
 //! async-std has no pausable clock, so every timer in the crate goes through [`Clock`]: `now`,
 //! `sleep` and `timeout`. A test builds [`Clock::manual`] and moves time with
-//! [`Clock::advance`]; sleepers wake in deadline order, and nothing races the real clock.
+//! [`Clock::advance`]; sleepers wake in the order of their deadlines, independent of real time.
 
 use futures::future::{self, Either};
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
 /// deadlines stored in the table), since creation on a manual one.
 pub type Millis = u64;
 
-/// The clock every timer of a process reads.
+/// The clock that all timers of a process use.
 #[derive(Clone, Debug)]
 pub enum Clock {
     /// Wall time: `base` ms since the Unix epoch at the instant `start`.
     Real {
-        /// When the clock was made.
+        /// When the clock was created.
         start: Instant,
         /// Unix ms at `start`.
         base: Millis,
@@ -30,21 +30,21 @@
     Manual(Arc<Mutex<Manual>>),
 }
 
-/// State of a manual clock: the time and who sleeps until when.
+/// State of a manual clock: the time, and sleepers by (deadline, id).
 #[derive(Debug, Default)]
 pub struct Manual {
     now: Millis,
-    next: u64,
+    last_id: u64,
     sleepers: BTreeMap<(Millis, u64), Waker>,
 }
 
-/// Returned by [`Clock::timeout`] when the time ran out first.
+/// Error of [`Clock::timeout`]: the future did not complete within this many ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("timed out after {0} ms")]
 pub struct Elapsed(pub Millis);
 
 impl Clock {
-    /// A clock on real time, starting now.
+    /// A clock on real time.
     pub fn real() -> Self {
         let base = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
@@ -52,12 +52,12 @@
         Self::Real { start: Instant::now(), base }
     }
 
-    /// A paused clock at time 0.
+    /// A manual clock at time 0.
     pub fn manual() -> Self {
         Self::Manual(Arc::new(Mutex::new(Manual::default())))
     }
 
-    /// The time now.
+    /// The present time, see [`Millis`].
     pub fn now(&self) -> Millis {
         match self {
             Self::Real { start, base } => base + start.elapsed().as_millis() as Millis,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Local time in ms that never jumps and, unlike [`Clock::now`], counts the time for which
-    /// the instance was suspended: a process that wakes up must not take an old lease for valid.
+    /// Monotonic local time, ms. Unlike [`Clock::now`] it includes the time for which the system
+    /// was suspended, so that a process that resumes does not consider an expired lease valid.
     pub fn mono(&self) -> Millis {
         match self {
             Self::Real { .. } => {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The time of day, Unix ms, as the system has it now.
+    /// The system's wall-clock time, Unix ms; it can jump.
     pub fn wall(&self) -> Millis {
         match self {
             Self::Real { .. } => std::time::SystemTime::now()
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sleeps `ms` milliseconds of this clock's time.
+    /// Sleeps for `ms` milliseconds of this clock's time.
     pub async fn sleep(&self, ms: Millis) {
         match self {
             Self::Real { .. } => async_std::task::sleep(Duration::from_millis(ms)).await,
@@ -101,24 +101,24 @@
     /// Runs `fut` for at most `ms` milliseconds.
     pub async fn timeout<F: Future>(&self, ms: Millis, fut: F) -> Result<F::Output, Elapsed> {
         let fut = std::pin::pin!(fut);
-        let nap = std::pin::pin!(self.sleep(ms));
-        match future::select(fut, nap).await {
+        let timer = std::pin::pin!(self.sleep(ms));
+        match future::select(fut, timer).await {
             Either::Left((out, _)) => Ok(out),
             Either::Right(((), _)) => Err(Elapsed(ms)),
         }
     }
 
-    /// Moves a manual clock forward by `ms` and wakes every sleeper whose time has come.
+    /// Moves a manual clock forward by `ms` and wakes every sleeper whose deadline has passed.
     ///
-    /// Panics on a real clock: only tests move time.
+    /// Panics on a real clock.
     pub fn advance(&self, ms: Millis) {
         let Self::Manual(m) = self else { panic!("advance on a real clock") };
         let due: Vec<Waker> = {
-            let mut st = m.lock().unwrap();
-            st.now += ms;
-            let edge = (st.now + 1, 0);
-            let later = st.sleepers.split_off(&edge);
-            std::mem::replace(&mut st.sleepers, later).into_values().collect()
+            let mut state = m.lock().unwrap();
+            state.now += ms;
+            let first_later = (state.now + 1, 0);
+            let later = state.sleepers.split_off(&first_later);
+            std::mem::replace(&mut state.sleepers, later).into_values().collect()
         };
         due.into_iter().for_each(Waker::wake);
     }
@@ -135,15 +135,15 @@
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let clock = self.clock.clone();
-        let mut st = clock.lock().unwrap();
-        if st.now >= self.until {
+        let mut state = clock.lock().unwrap();
+        if state.now >= self.until {
             return Poll::Ready(());
         }
         let id = *self.id.get_or_insert_with(|| {
-            st.next += 1;
-            st.next
+            state.last_id += 1;
+            state.last_id
         });
-        st.sleepers.insert((self.until, id), cx.waker().clone());
+        state.sleepers.insert((self.until, id), cx.waker().clone());
         Poll::Pending
     }
 }
@@ -151,8 +151,8 @@
 impl Drop for ManualSleep {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            if let Ok(mut st) = self.clock.lock() {
-                st.sleepers.remove(&(self.until, id));
+            if let Ok(mut state) = self.clock.lock() {
+                state.sleepers.remove(&(self.until, id));
             }
         }
     }
--- a/src/kernel/mod.rs
+++ b/src/kernel/mod.rs
@@ -1,5 +1,5 @@
-//! The kernel: small keys and arenas, the one clock, resources, classes of work and the
-//! registry that placement plug-ins add themselves to.
+//! Basic types shared by all processes: arenas and their keys, the clock, the stop signal,
+//! resources, classes of work and the registry of placement policies.
 
 pub mod arena;
 pub mod clock;
--- a/src/kernel/registry.rs
+++ b/src/kernel/registry.rs
@@ -1,17 +1,17 @@
-//! The plug-in registry: placement policies add themselves with `inventory::submit!` and the
-//! scheduler finds the one for each class of work here.
+//! The registry of placement policies. Each policy registers itself with `inventory::submit!`, and
+//! the scheduler looks up the policy for each class of work here.
 
 use crate::kernel::arena::WorkerKey;
 use crate::kernel::res::{Class, Resources};
 
-/// A worker the policy may choose, with the room left on it by committed work.
+/// A worker that a policy may choose, with its free capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The worker.
     pub key: WorkerKey,
     /// Rack number within the failure domain.
     pub rack: u32,
-    /// Room not yet committed.
+    /// Capacity that is not committed.
     pub free: Resources,
     /// Total capacity.
     pub cap: Resources,
@@ -19,20 +19,20 @@
     pub same_job: u32,
 }
 
-/// A placement policy: for `count` tasks of `demand` each, the workers to put them on.
+/// A placement policy: chooses workers for `count` tasks of `demand` each.
 ///
-/// It returns at most `count` workers, one per task, and never a worker where the sum of the
-/// chosen tasks exceeds `free`; `None` when the policy places nothing (a gang that does not fit).
+/// It returns at most `count` workers, one per task; the tasks chosen for a worker must fit in its
+/// `free` together. `None` if the policy places no task, as for a gang that does not fit.
 pub type Choose =
     fn(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>>;
 
-/// One registered plug-in.
+/// A registered placement policy.
 pub struct Policy {
-    /// The class it serves.
+    /// The class of work that it places.
     pub class: Class,
-    /// Its name in logs and the state dump.
+    /// Name in logs and the state dump.
     pub name: &'static str,
-    /// The decision itself.
+    /// The placement function.
     pub choose: Choose,
 }
 
@@ -40,8 +40,8 @@
 
 /// The policy registered for `class`.
 ///
-/// Panics if none registered: the plug-ins are part of this crate, so a missing one is a build
-/// mistake that the first test shows.
+/// Panics if there is none: the policies are part of this crate, so a missing one is a
+/// programming error that any test run shows.
 pub fn policy(class: Class) -> &'static Policy {
     inventory::iter::<Policy>
         .into_iter()
--- a/src/kernel/res.rs
+++ b/src/kernel/res.rs
@@ -1,9 +1,9 @@
-//! Resources a task declares and a worker offers, and the closed set of classes of work.
+//! Resources, as declared by tasks and offered by workers, and the classes of work.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Processors in thousandths of a core, memory in MiB, whole accelerators.
+/// An amount of each resource.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,15 +19,15 @@
 }
 
 impl Resources {
-    /// Nothing at all.
+    /// No resources.
     pub const ZERO: Self = Self { cpu: 0, mem: 0, acc: 0 };
 
-    /// Whether `self` fits inside `room` in every dimension.
-    pub fn fits(&self, room: &Self) -> bool {
-        self.cpu <= room.cpu && self.mem <= room.mem && self.acc <= room.acc
+    /// Whether `self` fits in `free` in every dimension.
+    pub fn fits(&self, free: &Self) -> bool {
+        self.cpu <= free.cpu && self.mem <= free.mem && self.acc <= free.acc
     }
 
-    /// The sum; saturates rather than wrapping.
+    /// The sum, saturating.
     pub fn add(&self, o: &Self) -> Self {
         Self {
             cpu: self.cpu.saturating_add(o.cpu),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The difference, floored at zero in each dimension.
+    /// The difference, not below zero in any dimension.
     pub fn sub(&self, o: &Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(o.cpu),
@@ -54,29 +54,30 @@
         }
     }
 
-    /// A single figure for best-fit ordering: the largest share of `cap` that `self` leaves.
+    /// Sort key of best-fit placement: the largest share of `cap` that `self`, the free capacity,
+    /// has in any dimension, in thousandths.
     pub fn slack(&self, cap: &Self) -> u64 {
         let share = |a: u64, c: u64| (a * 1000).checked_div(c).unwrap_or(0);
         share(self.cpu, cap.cpu).max(share(self.mem, cap.mem)).max(share(self.acc, cap.acc))
     }
 }
 
-/// The closed set of classes of work; each has its own placement policy.
+/// The classes of work; each has its own placement policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Must start within seconds (position lookups' background work, medics' requests).
+    /// Must start within seconds, such as medics' requests and background work of position lookups.
     Urgent,
-    /// Long-running; spread over workers and racks.
+    /// Long-running; its tasks are spread over workers and racks.
     Service,
-    /// Has a deadline, packs tightly, may queue overnight.
+    /// Has a deadline; is packed tightly and may be queued overnight.
     Batch,
-    /// All tasks at once or none.
+    /// All its tasks are started together, or none.
     Gang,
 }
 
 impl Class {
-    /// Every class, in priority order.
+    /// All classes, highest priority first.
     pub const ALL: [Self; 4] = [Self::Urgent, Self::Service, Self::Gang, Self::Batch];
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,16 @@
 //! currantgw: a cluster scheduler and request gateway for unlike workloads on one shared cell.
 //!
-//! The crate is a library with one thin binary. `kernel` holds keys, arenas, the clock and the
-//! plug-in registry; `standin` the stand-in of the platform and its client; `entry` the entry
-//! instance (API, catalogue, scheduler, routing); `runner` the backend server stand-in;
-//! `control` is the control plane on the users' platform and `platform` (the root folder of
-//! that name) the adapter to it;
-//! `options` the settings; `http` the HTTP client and listener; `smoke` the load driver.
+//! The crate is a library with one small binary. Its modules:
+//!
+//! - `control`: the control plane on the users' platform; `platform` (in the root folder of that
+//!   name): the adapter to that platform.
+//! - `entry`: the entry instance, with API, catalogue, scheduler and routing to runners.
+//! - `standin`: the stand-in of the platform and its client; `runner`: the stand-in of a backend
+//!   server; `wire`: the frames between entry instances and runners.
+//! - `kernel`: basic types shared by all processes, such as the clock and resources.
+//! - `options`: settings of a cell; `cli`: the command line; `smoke`: the load driver.
+//! - `http`: HTTP clients and listener; `admin`: metrics, JSON answers and draining of HTTP
+//!   listeners; `logs`: structured logs.
 
 pub mod admin;
 pub mod cli;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,35 +1,40 @@
-//! Structured logs: one JSON line per decision or change of state, through `log` and `fern`.
+//! Structured logs: JSON lines written through `log` and `fern`.
+//!
+//! The control plane's lines pass through a bounded queue to a writer thread, and their rate is
+//! limited, so that a slow reader of standard output never blocks the scheduler. Dropped lines are
+//! counted.
 
 use log::kv::{self, VisitSource};
 use log::LevelFilter;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{self, SyncSender, TrySendError};
 
-/// Lines that may wait for standard output; more are dropped and counted, so that a slow reader
-/// never blocks a decision.
-const QUEUE: usize = 8_192;
+/// Maximum number of lines that wait for standard output; further ones are dropped and counted, so
+/// that a slow reader never blocks the caller.
+const QUEUE_LINES: usize = 8_192;
 
-/// Most lines a second; more are dropped and counted, warnings and errors excepted. A scheduler
-/// at 280 starts a second writes some 1,500, each about 10 µs of a core.
+/// Maximum number of lines per second; further ones are dropped and counted, except for warnings
+/// and errors. A scheduler at 280 starts/s writes some 1,500 lines/s, each at about 10 µs of a
+/// core.
 const LINES_PER_S: u64 = 4_000;
 
-/// Lines dropped since the last one that said so.
+/// Lines dropped since the last report of dropped lines.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// The current second, and the lines written in it.
+/// The present second, Unix time.
 static SECOND: AtomicU64 = AtomicU64::new(0);
-/// See [`SECOND`].
-static WRITTEN: AtomicU64 = AtomicU64::new(0);
+/// Lines written in [`SECOND`].
+static WRITTEN_IN_SECOND: AtomicU64 = AtomicU64::new(0);
 
-/// Whether this second's share of lines is used up.
-fn over_rate() -> bool {
+/// Counts a line; true if it exceeds [`LINES_PER_S`].
+fn exceeds_rate() -> bool {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |d| d.as_secs());
     if SECOND.swap(now, Ordering::Relaxed) != now {
-        WRITTEN.store(0, Ordering::Relaxed);
+        WRITTEN_IN_SECOND.store(0, Ordering::Relaxed);
     }
-    WRITTEN.fetch_add(1, Ordering::Relaxed) >= LINES_PER_S
+    WRITTEN_IN_SECOND.fetch_add(1, Ordering::Relaxed) >= LINES_PER_S
 }
 
 fn drop_line() {
@@ -37,10 +42,10 @@
     metrics::counter!("log_lines_dropped").increment(1);
 }
 
-/// Errors of log set-up.
+/// Errors of the log setup.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// A logger was set already.
+    /// Another logger is already set.
     #[error("logger already set: {0}")]
     Set(#[from] log::SetLoggerError),
     /// The writer thread could not be started.
@@ -66,7 +71,7 @@
     }
 }
 
-/// One log line.
+/// Formats a record as one JSON line, without a line break.
 fn line(role: &str, id: &str, record: &log::Record<'_>, message: &str) -> String {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -78,12 +83,12 @@
     fields.0.insert("id".into(), id.into());
     fields.0.insert("target".into(), record.target().into());
     fields.0.insert("msg".into(), message.into());
-    // Visiting plain values does not fail.
+    // `Fields` never returns an error.
     let _ = record.key_values().visit(&mut fields);
     serde_json::Value::Object(fields.0).to_string()
 }
 
-/// Sends log lines as JSON to standard error, tagged with the process's `role` and `id`.
+/// Writes log lines to standard error, with the process's `role` and `id` in each.
 pub fn init(role: &str, id: &str, level: LevelFilter) -> Result<(), LogError> {
     let (role, id) = (role.to_string(), id.to_string());
     fern::Dispatch::new()
@@ -97,39 +102,39 @@
     Ok(())
 }
 
-/// Sends log lines as JSON to standard output from a thread of their own. Lines that find the
-/// queue full are dropped; the next line written says how many.
+/// Writes log lines to standard output from a separate thread. If its queue is full, lines are
+/// dropped, and the thread writes their number after the next lines.
 pub fn init_stdout(role: &str, id: &str, level: LevelFilter) -> Result<(), LogError> {
     let (role, id) = (role.to_string(), id.to_string());
-    let (tx, rx) = mpsc::sync_channel::<String>(QUEUE);
+    let (tx, rx) = mpsc::sync_channel::<String>(QUEUE_LINES);
     std::thread::Builder::new().name("logs".into()).spawn(move || write_all(&rx))?;
     fern::Dispatch::new()
         .level(level)
         .level_for("tide", LevelFilter::Warn)
         .chain(fern::Output::call(move |record| {
-            if record.level() > log::Level::Warn && over_rate() {
+            if record.level() > log::Level::Warn && exceeds_rate() {
                 return drop_line();
             }
-            send(&tx, line(&role, &id, record, &record.args().to_string()));
+            enqueue(&tx, line(&role, &id, record, &record.args().to_string()));
         }))
         .apply()?;
     Ok(())
 }
 
-fn send(tx: &SyncSender<String>, line: String) {
+fn enqueue(tx: &SyncSender<String>, line: String) {
     if let Err(TrySendError::Full(_)) = tx.try_send(line) {
         drop_line();
     }
 }
 
-/// Writes lines in as few system calls as there are pauses between them.
+/// Writes all lines that are queued, then flushes once, to save system calls.
 fn write_all(rx: &mpsc::Receiver<String>) {
     use std::io::Write;
     let mut out = std::io::BufWriter::new(std::io::stdout());
     while let Ok(first) = rx.recv() {
-        let more = rx.try_iter().take(QUEUE);
-        for line in std::iter::once(first).chain(more) {
-            // Standard output may be closed; there is nowhere left to say so.
+        let queued = rx.try_iter().take(QUEUE_LINES);
+        for line in std::iter::once(first).chain(queued) {
+            // Standard output may be closed; the error cannot be reported anywhere else.
             let _ = writeln!(out, "{line}");
         }
         let dropped = DROPPED.swap(0, Ordering::Relaxed);
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -1,10 +1,11 @@
-//! The shape of the settings file. Defaults and ranges are documented in `examples/cell.json`.
+//! The types of the settings file. `examples/cell.json` has every field with its default; the
+//! ranges are in `check`.
 
 use crate::kernel::res::Resources;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A whole cell: the platform stand-in, the entry instances and the runners.
+/// Settings of a cell: the platform stand-in, the entry instances and the runners.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cell {
@@ -13,31 +14,33 @@
     /// Timers and budgets shared by every entry instance.
     #[serde(default)]
     pub timing: Timing,
-    /// Entry instances, each its own process.
+    /// Entry instances; each is a process of its own.
     pub entries: Vec<EntryAddr>,
-    /// Runner stand-ins (backend servers), each its own process.
+    /// Runner stand-ins (backend servers); each is a process of its own.
     pub runners: Vec<RunnerAddr>,
-    /// Sizes shared by every runner.
+    /// Limits and service time of every runner.
     #[serde(default)]
     pub runner: RunnerKnobs,
 }
 
-/// The platform stand-in.
+/// Settings of the platform stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// HTTP address of its API.
+    /// Address of its HTTP API.
     pub listen: SocketAddr,
-    /// Table write transactions allowed per second, for the whole cell (brief: several hundred).
+    /// Table write transactions allowed per second, for the whole cell; several hundred on the
+    /// platform that it stands for.
     #[serde(default = "default_writes")]
     pub writes: u32,
-    /// Table reads allowed per second, for the whole cell (brief: about two thousand).
+    /// Table reads allowed per second, for the whole cell; about two thousand on the platform that
+    /// it stands for.
     #[serde(default = "default_reads")]
     pub reads: u32,
-    /// How far usage reports of workers lag behind, in ms.
+    /// Lag of the workers' reports, ms.
     #[serde(default = "default_usage_lag")]
     pub usage_lag_ms: u64,
-    /// How far the list of live and leaving instances lags behind, in ms.
+    /// Lag of the list of live and leaving instances, ms.
     #[serde(default = "default_instance_lag")]
     pub instance_lag_ms: u64,
     /// Failure domains with their racks and workers.
@@ -48,53 +51,55 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DomainSpec {
-    /// Its name, such as `a`.
+    /// Name, such as `a`; without a hyphen, because names of shards and workers begin with it.
     pub name: String,
-    /// The region it lies in.
+    /// Region.
     pub region: String,
-    /// Racks in it.
+    /// Number of racks.
     pub racks: u32,
-    /// Workers in each rack.
+    /// Number of workers per rack.
     pub workers: u32,
-    /// What each worker offers.
+    /// Capacity of each worker.
     pub worker: Resources,
 }
 
-/// Timers of entry instances; all in ms.
+/// Timers of entry instances; in ms, except for `retry_pct`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
-    /// Lifetime of a shard lease or membership row without renewal.
+    /// Time after which a shard lease or membership row expires unless renewed.
     pub lease_ms: u64,
     /// Interval of heartbeats that renew membership and shard leases.
     pub heartbeat_ms: u64,
-    /// Interval of scheduling rounds of each shard held.
+    /// Interval of scheduling rounds.
     pub round_ms: u64,
     /// Interval at which the catalogue version is read from the table.
     pub watch_ms: u64,
-    /// Deadline of one lookup, end to end inside the entry.
+    /// Time limit of one lookup, retries included.
     pub lookup_ms: u64,
-    /// Deadline of one write.
+    /// Time limit of one write.
     pub write_ms: u64,
-    /// Wait before a hedged second try of a lookup.
+    /// Delay before a lookup is sent to a second runner (hedging).
     pub hedge_ms: u64,
     /// Retries allowed, in percent of requests (the retry budget).
     pub retry_pct: u64,
     /// Interval of pings on idle runner connections.
     pub ping_ms: u64,
-    /// A connection with no frame for this long is dropped.
+    /// A runner connection without a frame for this time is closed.
     pub idle_ms: u64,
     /// Interval at which the instance list is read.
     pub instances_ms: u64,
-    /// Lifetime of task leases on workers without extension.
+    /// Time after which a task lease expires unless extended; the worker then kills the task.
     pub hold_ms: u64,
-    /// How long a stopping entry goes on accepting, so that the balancer sees it is not ready.
+    /// Time for which a stopping entry accepts requests, until the load balancer has seen that it is
+    /// not ready.
     pub linger_ms: u64,
-    /// Gap between two commits of write records, per entry instance of the domain.
+    /// Interval between two commits of write records, per entry instance of the domain.
     pub ledger_ms: u64,
-    /// How long outcomes stay in the table before they are swept to a report.
+    /// Time for which outcomes are kept in the table before garbage collection moves them to a
+    /// report.
     pub keep_ms: u64,
-    /// Interval of those sweeps.
+    /// Interval of garbage collection.
     pub sweep_ms: u64,
 }
 
@@ -121,25 +126,25 @@
     }
 }
 
-/// One entry instance.
+/// Settings of an entry instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryAddr {
-    /// Its id, unique in the cell.
+    /// Id, unique in the cell.
     pub id: String,
-    /// The failure domain it serves.
+    /// The failure domain that it serves.
     pub domain: String,
     /// HTTP address for operators and callers.
     pub listen: SocketAddr,
 }
 
-/// One runner stand-in.
+/// Settings of a runner stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunnerAddr {
-    /// Its id, unique in the cell; also its name in the instance list.
+    /// Id, unique in the cell; also the name in the instance list.
     pub id: String,
-    /// The failure domain it lies in.
+    /// The failure domain in which it runs.
     pub domain: String,
     /// Websocket address for entry instances.
     pub listen: SocketAddr,
@@ -147,15 +152,15 @@
     pub admin: SocketAddr,
 }
 
-/// Sizes of every runner.
+/// Limits and service time of every runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RunnerKnobs {
-    /// Requests served at once.
+    /// Maximum number of requests served at the same time.
     pub slots: u32,
-    /// Connections accepted at once.
+    /// Maximum number of open connections.
     pub connections: u32,
-    /// Service time of one lookup, in ms.
+    /// Service time of one request, ms.
     pub service_ms: u64,
 }
 
--- a/src/options/check.rs
+++ b/src/options/check.rs
@@ -1,4 +1,4 @@
-//! Range and reference checks of a parsed cell.
+//! Checks of parsed settings: ranges, unique ids and addresses, references to failure domains.
 
 use super::{Cell, SettingsError};
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
     Ok(())
 }
 
-/// Checks every range and reference of `cell`.
+/// Checks `cell`; the error names the first invalid field.
 pub fn cell(cell: &Cell) -> Result<(), SettingsError> {
     let p = &cell.platform;
     range("platform.writes", p.writes.into(), 1, 1_000_000)?;
--- a/src/options/mod.rs
+++ b/src/options/mod.rs
@@ -1,8 +1,8 @@
-//! Settings: one JSON file describes a whole cell; each process picks its own part by id.
+//! Settings: one JSON file describes a whole cell; each process finds its own part by id.
 //!
-//! Every field is checked before a process starts: unknown fields, values out of range,
-//! duplicate ids and references to failure domains that do not exist are typed errors that name
-//! the field, and the process does not start.
+//! All fields are checked before a process starts. Unknown fields, values out of range, duplicate
+//! ids and references to unknown failure domains are typed errors that name the field, and the
+//! process does not start.
 
 pub mod cell;
 mod check;
@@ -11,7 +11,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// The example cell of `examples/cell.json`, embedded so that the binary runs without files.
+/// The example cell of `examples/cell.json`, embedded so that the binary runs without a file.
 pub const DEFAULT_CELL: &str = include_str!("../../examples/cell.json");
 
 /// Why settings were refused.
@@ -22,10 +22,10 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Not JSON, or JSON of the wrong shape (unknown or missing fields, wrong types).
+    /// Invalid JSON, unknown or missing fields, or wrong types.
     #[error("settings are not valid: {0}")]
     Parse(#[from] serde_json::Error),
     /// A number outside its allowed range.
@@ -56,7 +56,7 @@
         /// The name given.
         value: String,
     },
-    /// A list that must not be empty is empty.
+    /// A list is empty that needs at least one item.
     #[error("settings field {field} is empty")]
     Empty {
         /// Dotted path of the field.
--- a/src/smoke/calls.rs
+++ b/src/smoke/calls.rs
@@ -1,4 +1,5 @@
-//! The loops that drive lookups, writes and catalogue edits, and watch catalogue versions.
+//! The loops of the load driver that send lookups, writes and catalogue edits, and check that
+//! catalogue versions never decrease. Every call has a time limit.
 
 use super::report::Report;
 use crate::entry::api::ApiError;
@@ -13,34 +14,34 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-/// Longest wait for an answer; a process that is stopped must not stop the driver.
-const CALL: Duration = Duration::from_secs(5);
+/// Time limit of a call, so that a stopped process does not block the driver.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wait after a refusal.
+/// Delay after a failed call.
 const BACKOFF: Duration = Duration::from_millis(20);
 
-/// Repeats of a write whose outcome is unknown.
-const REPEATS: u32 = 4;
+/// Attempts of a write that has not been acknowledged.
+const WRITE_ATTEMPTS: u32 = 4;
 
-/// Gap between writes of one loop, and between looks at a catalogue version.
-const GAP: Duration = Duration::from_millis(20);
+/// Delay between two writes of one loop, and between two reads of a catalogue version.
+const LOOP_INTERVAL: Duration = Duration::from_millis(20);
 
 fn client() -> &'static surf::Client {
     static CLIENT: OnceLock<surf::Client> = OnceLock::new();
     CLIENT.get_or_init(crate::http::client)
 }
 
-/// Fetches JSON; none on any failure.
+/// Fetches JSON; `None` on any failure.
 pub async fn get_json<T: DeserializeOwned>(url: &str) -> Option<T> {
     let call = async {
         let mut res = client().get(url).await.ok()?;
         res.status().is_success().then_some(())?;
         res.body_json().await.ok()
     };
-    future::timeout(CALL, call).await.ok()?
+    future::timeout(CALL_TIMEOUT, call).await.ok()?
 }
 
-/// Posts JSON; the status on failure, 0 when there was none.
+/// Posts JSON; on failure the status of the answer, or 0 if there was no answer.
 pub async fn post_json<T: DeserializeOwned>(url: &str, body: &impl Serialize) -> Result<T, u16> {
     let call = async {
         let req = client().post(url).body_json(body).map_err(|_| 0u16)?;
@@ -54,7 +55,7 @@
             }
         }
     };
-    future::timeout(CALL, call).await.unwrap_or(Err(0))
+    future::timeout(CALL_TIMEOUT, call).await.unwrap_or(Err(0))
 }
 
 /// Latencies in microseconds.
@@ -78,9 +79,9 @@
 /// Counters shared by the loops.
 pub struct Load {
     bases: Vec<String>,
-    /// Set when the load is over.
+    /// Set at the end of the load; the loops then return.
     pub done: AtomicBool,
-    looks: Latency,
+    lookups: Latency,
     writes: Latency,
     ok: AtomicU64,
     failed: AtomicU64,
@@ -91,16 +92,16 @@
     edits: AtomicU64,
     edit_us: AtomicU64,
     reverts: AtomicU64,
-    stamp: u64,
+    run_id: u64,
 }
 
 impl Load {
-    /// Loops over the entries at `bases`.
+    /// Counters for loops that call the entry instances at the URLs `bases`.
     pub fn new(bases: Vec<String>) -> Self {
         Self {
             bases,
             done: AtomicBool::new(false),
-            looks: Latency::new(),
+            lookups: Latency::new(),
             writes: Latency::new(),
             ok: AtomicU64::new(0),
             failed: AtomicU64::new(0),
@@ -111,11 +112,11 @@
             edits: AtomicU64::new(0),
             edit_us: AtomicU64::new(0),
             reverts: AtomicU64::new(0),
-            stamp: rand::random(),
+            run_id: rand::random(),
         }
     }
 
-    fn over(&self) -> bool {
+    fn is_done(&self) -> bool {
         self.done.load(Ordering::Relaxed)
     }
 
@@ -123,18 +124,18 @@
         &self.bases[n % self.bases.len()]
     }
 
-    /// Looks keys up through entry `n`, one after the other.
-    pub async fn look(self: Arc<Self>, n: usize) {
+    /// Sends lookups to entry `n`, one after the other, until the load is over.
+    pub async fn run_lookups(self: Arc<Self>, n: usize) {
         let kind = if n.is_multiple_of(2) { "runner" } else { "card" };
         let mut i = 0u64;
-        while !self.over() {
+        while !self.is_done() {
             i += 1;
             let key = format!("{kind}-{n}-{i}");
             let start = Instant::now();
             match get_json::<Answer>(&format!("{}/lookup?key={key}", self.base(n))).await {
                 Some(a) if a.value == wire::value_for(&key) && a.key == key => {
                     self.ok.fetch_add(1, Ordering::Relaxed);
-                    self.looks.record(start);
+                    self.lookups.record(start);
                 }
                 Some(_) => drop(self.crossed.fetch_add(1, Ordering::Relaxed)),
                 None => {
@@ -145,28 +146,28 @@
         }
     }
 
-    /// Writes one id after the other, starting at entry `n`; a write whose outcome is unknown is
-    /// repeated through the other entries, as a caller would.
-    pub async fn write(self: Arc<Self>, n: usize) {
+    /// Sends writes one after the other, first to entry `n`. A write that is not acknowledged is
+    /// repeated at the other entries, as a caller would do.
+    pub async fn run_writes(self: Arc<Self>, n: usize) {
         let mut i = 0u64;
-        while !self.over() {
+        while !self.is_done() {
             i += 1;
-            let id = format!("split-{:x}-{n}-{i}", self.stamp);
+            let id = format!("split-{:x}-{n}-{i}", self.run_id);
             let body = serde_json::json!({ "id": id, "body": "checkpoint" });
             let start = Instant::now();
-            let mut last = 0;
-            for repeat in 0..REPEATS {
-                let url = format!("{}/write", self.base(n + repeat as usize));
+            let mut last_status = 0;
+            for attempt in 0..WRITE_ATTEMPTS {
+                let url = format!("{}/write", self.base(n + attempt as usize));
                 match post_json::<WriteDone>(&url, &body).await {
                     Ok(_) => {
-                        last = 200;
+                        last_status = 200;
                         break;
                     }
-                    Err(status) => last = status,
+                    Err(status) => last_status = status,
                 }
                 task::sleep(BACKOFF * 5).await;
             }
-            let count = match last {
+            let count = match last_status {
                 200 => {
                     self.writes.record(start);
                     &self.written
@@ -175,21 +176,21 @@
                 _ => &self.unknown,
             };
             count.fetch_add(1, Ordering::Relaxed);
-            task::sleep(GAP).await;
+            task::sleep(LOOP_INTERVAL).await;
         }
     }
 
-    /// Watches entry `n`'s catalogue version, which must never go back.
+    /// Reads the catalogue version of entry `n` and counts each decrease, which is a fault.
     pub async fn watch_versions(self: Arc<Self>, n: usize) {
-        let mut seen = 0;
-        while !self.over() {
+        let mut latest = 0;
+        while !self.is_done() {
             if let Some(v) = self.version(n).await {
-                if v < seen {
+                if v < latest {
                     self.reverts.fetch_add(1, Ordering::Relaxed);
                 }
-                seen = v;
+                latest = v;
             }
-            task::sleep(GAP * 10).await;
+            task::sleep(LOOP_INTERVAL * 10).await;
         }
     }
 
@@ -198,11 +199,11 @@
         get_json::<serde_json::Value>(&url).await?["catalogue"]["version"].as_u64()
     }
 
-    /// Edits the catalogue every `gap` and measures how long each edit takes to be in force on
-    /// every entry that answers.
-    pub async fn edit(self: Arc<Self>, gap: Duration) {
+    /// Edits the catalogue every `gap` and measures the time until each edit is in force on every
+    /// entry that answers.
+    pub async fn run_edits(self: Arc<Self>, gap: Duration) {
         let mut n = 0;
-        while !self.over() {
+        while !self.is_done() {
             task::sleep(gap).await;
             n += 1;
             let url = format!("{}/catalogue", self.base(n));
@@ -215,22 +216,22 @@
             self.edits.fetch_add(1, Ordering::Relaxed);
             let want = done["version"].as_u64().unwrap_or(0);
             for e in 0..self.bases.len() {
-                while !self.over() && self.version(e).await.is_some_and(|v| v < want) {
-                    task::sleep(GAP).await;
+                while !self.is_done() && self.version(e).await.is_some_and(|v| v < want) {
+                    task::sleep(LOOP_INTERVAL).await;
                 }
             }
             self.edit_us.fetch_max(start.elapsed().as_micros() as u64, Ordering::Relaxed);
         }
     }
 
-    /// Takes the counters into `report`.
+    /// Copies the counters into `report`.
     pub fn fill(&self, report: &mut Report) {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         report.lookups_ok = get(&self.ok);
         report.lookups_failed = get(&self.failed);
         report.lookups_crossed = get(&self.crossed);
-        report.lookup_p50_ms = self.looks.ms(0.5);
-        report.lookup_p99_ms = self.looks.ms(0.99);
+        report.lookup_p50_ms = self.lookups.ms(0.5);
+        report.lookup_p99_ms = self.lookups.ms(0.99);
         report.writes_ok = get(&self.written);
         report.writes_refused = get(&self.refused);
         report.writes_unknown = get(&self.unknown);
--- a/src/smoke/jobs.rs
+++ b/src/smoke/jobs.rs
@@ -1,4 +1,4 @@
-//! Submits jobs of every class at a steady rate and collects their outcomes.
+//! Submits jobs of every class at a constant rate and collects their outcomes.
 
 use super::calls::post_json;
 use super::report::Report;
@@ -9,16 +9,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// How long the driver waits after the load for jobs to end.
-const SETTLE: Duration = Duration::from_secs(15);
+/// Longest wait for the submitted jobs to end after the load.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Job ids asked for in one call.
-const PAGE: usize = 200;
+/// Job ids in one status call.
+const STATUS_PAGE: usize = 200;
 
-/// Every this many jobs, one is a gang.
+/// One of this many jobs is a gang.
 const GANG_EVERY: usize = 25;
 
-/// One kind of job the driver submits.
+/// One kind of job that the driver submits.
 struct Kind {
     entry: &'static str,
     tasks: u32,
@@ -35,8 +35,8 @@
     Kind { entry, tasks, demand: Resources { cpu, mem, acc }, run_ms }
 }
 
-/// Split recomputations, medic requests, archive recalculations, shade conversions, tracker
-/// services.
+/// Jobs other than gangs: split recomputations, medic requests, archive recalculations, shade
+/// conversions and tracker services.
 const KINDS: [Kind; 5] = [
     kind("cronometria/splits", 2, (1000, 2048, 0), 1500),
     kind("cronometria/medic", 1, (500, 1024, 0), 800),
@@ -45,39 +45,40 @@
     kind("cronometria/tracker", 1, (1000, 2048, 0), 0),
 ];
 
-/// A ranking refresh, which needs all its tasks at once.
+/// A ranking refresh, whose tasks must all run at the same time.
 const GANG: Kind = kind("cronometria/ranking", 4, (4000, 8192, 0), 2500);
 
-/// The jobs submitted and what became of them.
+/// The submitted jobs and their outcomes.
 #[derive(Default)]
 pub struct Submitted {
     jobs: u64,
     tasks: u64,
     refused: u64,
     errors: u64,
-    /// Accepted job ids by entry.
+    /// Ids of accepted jobs, by the URL of the entry instance.
     accepted: BTreeMap<String, Vec<String>>,
     rows: Vec<JobRow>,
 }
 
-/// Where each kind of job may go: every failure domain whose workers hold one of its tasks.
+/// Pairs of a kind of job and a failure domain whose workers have capacity for one of its tasks.
 fn targets<'a>(cell: &'a Cell, kinds: &'static [Kind]) -> Vec<(&'static Kind, &'a str)> {
     let fits = |k: &Kind, d: &str| cell.domain(d).is_some_and(|d| k.demand.fits(&d.worker));
     let domains: Vec<&str> = cell.platform.domains.iter().map(|d| d.name.as_str()).collect();
     domains.iter().flat_map(|d| kinds.iter().filter(|k| fits(k, d)).map(|k| (k, *d))).collect()
 }
 
-/// Submits `rate` jobs a second until `until`, without waiting for one answer before the next.
+/// Submits `rate` jobs per second until `until`; a submission does not wait for the answer to the
+/// previous one.
 pub async fn submit(cell: &Cell, rate: u32, until: Instant) -> Submitted {
     let mut out = Submitted::default();
     if rate == 0 {
         return out;
     }
     let (kinds, gangs) = (targets(cell, &KINDS), targets(cell, std::slice::from_ref(&GANG)));
-    let stamp: u64 = rand::random();
+    let run_id: u64 = rand::random();
     let gap = Duration::from_secs(1) / rate;
     let start = Instant::now();
-    let mut flights = Vec::new();
+    let mut submissions = Vec::new();
     for n in 0.. {
         let due = start + gap * n as u32;
         if due >= until {
@@ -91,18 +92,18 @@
         let base = format!("http://{}", entry.listen);
         let spec = serde_json::json!({
             "entry": kind.entry, "tasks": kind.tasks, "demand": kind.demand,
-            "run_ms": kind.run_ms, "key": format!("smoke-{stamp:x}-{n}"),
+            "run_ms": kind.run_ms, "key": format!("smoke-{run_id:x}-{n}"),
         });
         out.jobs += 1;
         out.tasks += u64::from(kind.tasks);
         let tasks = u64::from(kind.tasks);
-        flights.push(task::spawn(async move {
-            let got = post_json::<JobRow>(&format!("{base}/jobs"), &spec).await;
-            (base, tasks, got)
+        submissions.push(task::spawn(async move {
+            let answer = post_json::<JobRow>(&format!("{base}/jobs"), &spec).await;
+            (base, tasks, answer)
         }));
     }
-    for (base, tasks, got) in futures::future::join_all(flights).await {
-        match got {
+    for (base, tasks, answer) in futures::future::join_all(submissions).await {
+        match answer {
             Ok(row) => out.accepted.entry(base).or_default().push(row.id),
             Err(422) => out.refused += tasks,
             Err(_) => out.errors += 1,
@@ -112,10 +113,11 @@
 }
 
 impl Submitted {
-    /// Waits, bounded, until every job but services has ended, and reads the outcomes.
+    /// Waits up to [`SETTLE_TIMEOUT`] until all jobs except services have ended, and reads their
+    /// outcomes.
     pub async fn settle(&mut self) {
         let start = Instant::now();
-        while start.elapsed() < SETTLE {
+        while start.elapsed() < SETTLE_TIMEOUT {
             self.read().await;
             let known = self.rows.len() == self.accepted.values().map(Vec::len).sum::<usize>();
             let open = |j: &JobRow| !j.ended() && j.class != Class::Service;
@@ -130,13 +132,13 @@
         self.rows.clear();
         let bases: Vec<&String> = self.accepted.keys().collect();
         for (base, ids) in &self.accepted {
-            for page in ids.chunks(PAGE) {
+            for page in ids.chunks(STATUS_PAGE) {
                 let body = serde_json::json!({ "ids": page });
-                // Any entry can tell; the one that took the job may be gone.
+                // Any entry can answer; the one that accepted the job may have been replaced.
                 for other in std::iter::once(&base).chain(bases.iter()) {
                     let url = format!("{other}/jobs/status");
-                    if let Ok(got) = post_json::<Vec<JobRow>>(&url, &body).await {
-                        self.rows.extend(got);
+                    if let Ok(answer) = post_json::<Vec<JobRow>>(&url, &body).await {
+                        self.rows.extend(answer);
                         break;
                     }
                 }
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Takes the outcomes into `report`.
+    /// Copies the outcomes into `report`.
     pub fn fill(&self, report: &mut Report) {
         let accepted = self.accepted.values().map(|v| v.len() as u64).sum::<u64>();
         report.jobs_submitted = self.jobs;
--- a/src/smoke/mod.rs
+++ b/src/smoke/mod.rs
@@ -1,5 +1,5 @@
-//! The smoke and load driver: drives a running cell with lookups, writes, catalogue edits and
-//! jobs of every class for a while, then reports outcomes and the promise counters.
+//! The smoke and load driver: sends lookups, writes, catalogue edits and jobs of every class to a
+//! running cell for a given time, then reports outcomes and counters of broken invariants.
 
 mod calls;
 mod jobs;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What to drive.
+/// Size of the load.
 #[derive(Clone, Debug)]
-pub struct Knobs {
-    /// Seconds of load.
+pub struct Options {
+    /// Duration of the load, s.
     pub seconds: u64,
     /// Concurrent lookup loops.
     pub lookers: u32,
@@ -30,11 +30,11 @@
     pub jobs: u32,
     /// Catalogue edits per minute.
     pub edits: u32,
-    /// Faults to post first.
+    /// Faults that are added to the platform's plan before the load.
     pub faults: Vec<Fault>,
 }
 
-/// Why the driver could not do its work; what the cell does wrong is in the report instead.
+/// Why the driver could not run. Faults of the cell are in the report instead.
 #[derive(Debug, thiserror::Error)]
 pub enum SmokeError {
     /// The platform stand-in did not answer.
@@ -46,16 +46,16 @@
 }
 
 async fn stats(platform: &str) -> Result<Stats, SmokeError> {
-    let got = get_json(&format!("{platform}/stats")).await;
-    got.ok_or_else(|| SmokeError::Platform(platform.to_string()))
+    let answer = get_json(&format!("{platform}/stats")).await;
+    answer.ok_or_else(|| SmokeError::Platform(platform.to_string()))
 }
 
-/// Drives `cell` as `knobs` say and reports.
-pub async fn run(cell: &Cell, knobs: &Knobs) -> Result<Report, SmokeError> {
+/// Runs the load that `options` describe against `cell` and returns the report.
+pub async fn run(cell: &Cell, options: &Options) -> Result<Report, SmokeError> {
     let start = Instant::now();
     let platform = format!("http://{}", cell.platform.listen);
-    if !knobs.faults.is_empty() {
-        post_json::<serde_json::Value>(&format!("{platform}/faults"), &knobs.faults)
+    if !options.faults.is_empty() {
+        post_json::<serde_json::Value>(&format!("{platform}/faults"), &options.faults)
             .await
             .map_err(SmokeError::Faults)?;
     }
@@ -63,15 +63,15 @@
     let bases: Vec<String> = cell.entries.iter().map(|e| format!("http://{}", e.listen)).collect();
     let load = Arc::new(Load::new(bases.clone()));
     let mut loops = Vec::new();
-    loops.extend((0..knobs.lookers).map(|n| task::spawn(load.clone().look(n as usize))));
-    loops.extend((0..knobs.writers).map(|n| task::spawn(load.clone().write(n as usize))));
+    loops.extend((0..options.lookers).map(|n| task::spawn(load.clone().run_lookups(n as usize))));
+    loops.extend((0..options.writers).map(|n| task::spawn(load.clone().run_writes(n as usize))));
     loops.extend((0..bases.len()).map(|n| task::spawn(load.clone().watch_versions(n))));
-    if knobs.edits > 0 {
-        let gap = Duration::from_secs(60) / knobs.edits;
-        loops.push(task::spawn(load.clone().edit(gap)));
+    if options.edits > 0 {
+        let gap = Duration::from_secs(60) / options.edits;
+        loops.push(task::spawn(load.clone().run_edits(gap)));
     }
-    let until = start + Duration::from_secs(knobs.seconds);
-    let mut submitted = jobs::submit(cell, knobs.jobs, until).await;
+    let until = start + Duration::from_secs(options.seconds);
+    let mut submitted = jobs::submit(cell, options.jobs, until).await;
     task::sleep(until.saturating_duration_since(Instant::now())).await;
     load.done.store(true, Ordering::Relaxed);
     futures::future::join_all(loops).await;
@@ -86,7 +86,7 @@
     Ok(report)
 }
 
-/// Write ids that ran more than once, counted over every runner of the cell together.
+/// Number of write ids that ran more than once, summed over all runners of the cell.
 async fn executed_twice(cell: &Cell) -> u64 {
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for r in &cell.runners {
--- a/src/smoke/report.rs
+++ b/src/smoke/report.rs
@@ -1,34 +1,34 @@
-//! What a smoke run reports.
+//! The report of a smoke run.
 
 use crate::standin::api::Stats;
 use serde::{Deserialize, Serialize};
 
-/// The report. The promise counters must be 0.
+/// The report. The counters of broken invariants must be 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
     /// Jobs submitted.
     pub jobs_submitted: u64,
-    /// Jobs that an entry accepted.
+    /// Jobs that an entry instance accepted.
     pub jobs_accepted: u64,
     /// Tasks in the jobs submitted.
     pub tasks_submitted: u64,
     /// Tasks placed at least once.
     pub tasks_placed: u64,
-    /// Tasks ended well.
+    /// Tasks that completed their work.
     pub tasks_finished: u64,
-    /// Tasks that failed on every try.
+    /// Tasks that failed on every attempt.
     pub tasks_failed: u64,
-    /// Tasks refused as not run.
+    /// Tasks refused without being run.
     pub tasks_refused: u64,
-    /// Tasks still running or waiting at the end (services run on).
+    /// Tasks still running or waiting at the end, services included.
     pub tasks_open: u64,
-    /// Submissions the entries did not accept (unavailable).
+    /// Submissions that failed for another reason than a refusal, such as an unavailable entry.
     pub submit_errors: u64,
     /// Median wait of urgent jobs from submission to their first placement, ms.
     pub urgent_wait_p50_ms: f64,
-    /// Longest such wait, ms.
+    /// Longest wait of urgent jobs from submission to their first placement, ms.
     pub urgent_wait_max_ms: f64,
-    /// Lookups answered whole and right.
+    /// Lookups answered with the value of their key.
     pub lookups_ok: u64,
     /// Lookups not answered.
     pub lookups_failed: u64,
@@ -38,9 +38,9 @@
     pub lookup_p99_ms: f64,
     /// Writes acknowledged.
     pub writes_ok: u64,
-    /// Writes refused as not run.
+    /// Writes refused without being run.
     pub writes_refused: u64,
-    /// Writes whose outcome stayed unknown after repeats.
+    /// Writes whose outcome is unknown after all attempts.
     pub writes_unknown: u64,
     /// Median write latency, ms.
     pub write_p50_ms: f64,
@@ -48,21 +48,21 @@
     pub edits_ok: u64,
     /// Longest time until an accepted edit was in force on every entry that answered, ms.
     pub edit_max_ms: f64,
-    /// Promise: workers ever committed beyond capacity.
+    /// Invariant: workers that ran beyond their capacity at any time.
     pub overcommitted_workers: u64,
-    /// Promise: tasks started while already running.
+    /// Invariant: tasks started while already running.
     pub double_runs: u64,
-    /// Promise: write ids executed more than once in the cell.
+    /// Invariant: write ids executed more than once in the cell.
     pub writes_executed_twice: u64,
-    /// Promise: lookups answered with another key's value.
+    /// Invariant: lookups answered with the value of another key.
     pub lookups_crossed: u64,
-    /// Promise: accepted jobs that are not known any more.
+    /// Invariant: accepted jobs that no entry has a record of.
     pub jobs_lost: u64,
-    /// Promise: entries seen going back to an older catalogue version.
+    /// Invariant: changes of an entry to an older catalogue version.
     pub catalogue_reverts: u64,
-    /// Tasks killed because nobody extended their task lease.
+    /// Tasks killed because their task lease expired.
     pub tasks_lapsed: u64,
-    /// Starts that the workers refused (late, fenced, repeated).
+    /// Start orders that the workers refused (expired, fenced or repeated).
     pub starts_refused: u64,
     /// Task starts per second during the run.
     pub starts_per_s: f64,
@@ -72,15 +72,15 @@
     pub table_reads_per_s: f64,
     /// Table transactions that failed a condition, per second.
     pub table_conflicts_per_s: f64,
-    /// Calls that the table's budget refused, per second.
+    /// Calls refused because the table's budget was used up, per second.
     pub table_throttled_per_s: f64,
-    /// Seconds the run took, load and settling.
+    /// Duration of the run, s: the load and the wait for jobs to end.
     pub seconds: f64,
 }
 
 impl Report {
-    /// Whether every promise counter is 0.
-    pub fn promises_kept(&self) -> bool {
+    /// Whether all counters of broken invariants are 0.
+    pub fn invariants_hold(&self) -> bool {
         self.overcommitted_workers == 0
             && self.double_runs == 0
             && self.writes_executed_twice == 0
@@ -89,7 +89,7 @@
             && self.catalogue_reverts == 0
     }
 
-    /// Takes what the platform counted between two readings.
+    /// Adds the platform's counters: rates between two readings, and the invariants of the later one.
     pub fn fill_platform(&mut self, before: &Stats, after: &Stats) {
         let ms = after.uptime_ms.saturating_sub(before.uptime_ms).max(1);
         let rate = |a: u64, b: u64| a.saturating_sub(b) as f64 * 1000.0 / ms as f64;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,8 +1,8 @@
 //! Frames between entry instances and runners: websocket binary messages carrying CBOR.
 //!
-//! [`Frame`] is what the code handles; [`WireFrame`] is what travels, with a version field, and
-//! the two convert by `From` and `TryFrom` so that a malformed or foreign frame is a typed
-//! [`FrameError`], never a panic or a guess.
+//! The code uses [`Frame`]; [`WireFrame`] is its encoded form with a version field. They convert
+//! with `From` and `TryFrom`, so that a malformed frame or one of another version is a typed
+//! [`FrameError`].
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3;
@@ -10,78 +10,78 @@
 /// Version of the frame format; a frame of another version is refused.
 pub const VERSION: u16 = 1;
 
-/// A frame as the code sees it. `id` is the correlation id of a request and its answer.
+/// A decoded frame. `id` is the correlation id of a request and its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// Look `key` up (idempotent).
+    /// Request: look up `key`. Idempotent.
     Lookup {
         /// Correlation id.
         id: u64,
-        /// What to look up.
+        /// The key to look up.
         key: String,
     },
-    /// Execute the write `write` once (not idempotent).
+    /// Request: execute the write `write`. Not idempotent.
     Write {
         /// Correlation id.
         id: u64,
-        /// The write's own id, by which the runner counts executions.
+        /// The write id, by which the runner counts executions.
         write: String,
-        /// Its payload.
+        /// The payload.
         body: String,
     },
-    /// Ask what became of a write sent earlier: answered with [`Frame::Done`] once it has run,
-    /// or with [`Frame::Busy`], and then it is never executed by this life of the runner.
+    /// Request for the outcome of an earlier write. Answered with [`Frame::Done`] once it has run,
+    /// or with [`Frame::Busy`]; in that case this incarnation of the runner never executes it.
     Query {
         /// Correlation id.
         id: u64,
         /// The write id.
         write: String,
     },
-    /// The whole answer to lookup `id`.
+    /// The answer to lookup `id`.
     Answer {
         /// Correlation id.
         id: u64,
-        /// The key asked for, echoed.
+        /// The requested key.
         key: String,
         /// The value.
         value: String,
     },
-    /// Write `id` executed; `runs` is how often this write id has run on this runner.
+    /// The answer to a write or query: the write has been executed.
     Done {
         /// Correlation id.
         id: u64,
         /// The write id.
         write: String,
-        /// Executions so far.
+        /// Number of executions of this write id on this runner.
         runs: u64,
     },
-    /// First frame of a connection: which life of the runner this is. A runner that restarted
-    /// has forgotten which writes it ran.
+    /// First frame of a connection; identifies the incarnation of the runner. A restarted runner has
+    /// no record of the writes that it executed before.
     Hello {
         /// Random number drawn at the runner's start.
         incarnation: u64,
     },
-    /// The runner shuts down: send it nothing new on any connection.
+    /// The runner is shutting down; no new requests may be sent on any connection to it.
     Leaving {
         /// The runner's incarnation.
         incarnation: u64,
     },
-    /// Not taken (full, or shutting down): nothing was executed, and a write refused so is never
-    /// executed by this life of the runner. Try elsewhere, or again after `retry_ms`.
+    /// The request was refused, because the queue is full or the runner is shutting down. Nothing
+    /// was executed, and this incarnation of the runner never executes a write that it refused.
     Busy {
         /// Correlation id.
         id: u64,
-        /// When to come back.
+        /// Delay before a retry, ms.
         retry_ms: u64,
     },
     /// Liveness probe of an idle connection.
     Ping {
-        /// Echoed in the pong.
+        /// Number that the pong repeats.
         nonce: u64,
     },
-    /// Answer to a ping.
+    /// The answer to a ping.
     Pong {
-        /// The ping's nonce.
+        /// The nonce of the ping.
         nonce: u64,
     },
 }
@@ -112,14 +112,14 @@
     Pong,
 }
 
-/// The frame as it travels: flat, versioned, optional fields by kind.
+/// The encoded form of a frame: flat, with a version; the kind decides which fields are present.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireFrame {
     /// Format version, [`VERSION`].
     pub v: u16,
-    /// Kind.
+    /// Kind of frame.
     pub kind: WireKind,
-    /// Correlation id or nonce.
+    /// Correlation id, nonce or incarnation.
     pub id: u64,
     /// Key or write id.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -127,15 +127,15 @@
     /// Body or value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body: Option<String>,
-    /// A count or a delay.
+    /// Number of runs, or a delay in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub n: Option<u64>,
 }
 
-/// Why bytes are not a frame.
+/// Why a frame was refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Not CBOR, or not the shape of a [`WireFrame`].
+    /// Not CBOR, or not the fields of a [`WireFrame`].
     #[error("not a frame: {0}")]
     Decode(String),
     /// Another version of the format.
@@ -188,19 +188,19 @@
             return Err(FrameError::Version(w.v));
         }
         let kind = w.kind;
-        let need = |v: Option<String>, field| v.ok_or(FrameError::Missing { kind, field });
+        let text = |v: Option<String>, field| v.ok_or(FrameError::Missing { kind, field });
         let count = |v: Option<u64>, field| v.ok_or(FrameError::Missing { kind, field });
         let id = w.id;
         Ok(match kind {
-            WireKind::Lookup => Self::Lookup { id, key: need(w.key, "key")? },
+            WireKind::Lookup => Self::Lookup { id, key: text(w.key, "key")? },
             WireKind::Write => {
-                Self::Write { id, write: need(w.key, "key")?, body: need(w.body, "body")? }
+                Self::Write { id, write: text(w.key, "key")?, body: text(w.body, "body")? }
             }
-            WireKind::Query => Self::Query { id, write: need(w.key, "key")? },
+            WireKind::Query => Self::Query { id, write: text(w.key, "key")? },
             WireKind::Answer => {
-                Self::Answer { id, key: need(w.key, "key")?, value: need(w.body, "body")? }
+                Self::Answer { id, key: text(w.key, "key")?, value: text(w.body, "body")? }
             }
-            WireKind::Done => Self::Done { id, write: need(w.key, "key")?, runs: count(w.n, "n")? },
+            WireKind::Done => Self::Done { id, write: text(w.key, "key")?, runs: count(w.n, "n")? },
             WireKind::Hello => Self::Hello { incarnation: id },
             WireKind::Leaving => Self::Leaving { incarnation: id },
             WireKind::Busy => Self::Busy { id, retry_ms: count(w.n, "n")? },
@@ -210,22 +210,22 @@
     }
 }
 
-/// CBOR bytes of a frame.
+/// Encodes a frame as CBOR.
 pub fn encode(f: Frame) -> Vec<u8> {
     let mut out = Vec::with_capacity(64);
     ciborium::into_writer(&WireFrame::from(f), &mut out).expect("writing to a Vec cannot fail");
     out
 }
 
-/// The frame in CBOR bytes.
+/// Decodes a frame from CBOR.
 pub fn decode(bytes: &[u8]) -> Result<Frame, FrameError> {
     let w: WireFrame =
         ciborium::from_reader(bytes).map_err(|e| FrameError::Decode(e.to_string()))?;
     Frame::try_from(w)
 }
 
-/// The value that every runner holds for `key`: the smoke driver checks each answer against it,
-/// so a crossed or partial answer is caught.
+/// The value of `key` on every runner. The smoke driver compares each answer with it, to detect an
+/// answer to another lookup and a partial one.
 pub fn value_for(key: &str) -> String {
     format!("{key}={:016x}", xxh3::xxh3_64(key.as_bytes()))
 }
