--- a/benches/planner.rs
+++ b/benches/planner.rs
@@ -1,7 +1,8 @@
-//! Plays loads of the heaviest days on the scheduler's engine in memory, with each way of choosing
-//! runners, and prints what callers got: `cargo bench --bench planner -- [SEEDS] [LOAD]
-//! [WAYS]`, where WAYS is how many of best fit, first fit and random to play. As part of the tests,
-//! without `--bench`, it plays one small load to show that it still runs.
+//! Runs loads like those of the busiest days on the scheduler's engine in memory, with each
+//! placement policy, and prints the results for callers: `cargo bench --bench planner -- [SEEDS]
+//! [LOAD] [POLICIES]`. SEEDS is the number of seeds, LOAD a part of the load's name, POLICIES how
+//! many of best fit, first fit and random to run. Without `--bench`, as in a test run, it runs one
+//! small load as a check of the bench itself.
 
 #[path = "../tests/common/control.rs"]
 mod control;
@@ -13,7 +14,7 @@
 use currantgw::control::place::Placement;
 use load::{Load, Outcome};
 
-/// Height of the plot of room used, lines.
+/// Height of the plot of used capacity, lines.
 const PLOT_LINES: usize = 8;
 
 fn loads() -> Vec<Load> {
@@ -31,7 +32,7 @@
         Load::rough_estimates(48),
         Load::rough_estimates(48).heavy("rough estimates, bursts", 1.9),
         Load::rough_estimates(48).heavy("", 1.9).times("rough estimates, full", 1.25),
-        grown("350 runners", 350),
+        scaled("350 runners", 350),
         Load::many_runners(350),
         Load::many_runners(350).heavy("many runners, bursts", 1.7),
         Load::many_runners(350).times("many runners, twice", 2.0),
@@ -40,8 +41,8 @@
     ]
 }
 
-/// A cell of `runners` at the calm load of each, for ten seconds.
-fn grown(name: &'static str, runners: usize) -> Load {
+/// A cell of `runners` for ten seconds; the load per runner is that of 48 small runners.
+fn scaled(name: &'static str, runners: usize) -> Load {
     let mut load = Load::small_runners(runners).times(name, runners as f64 / 48.0);
     load.seconds = 10.0;
     load.lines = 7 * runners / 48;
@@ -59,9 +60,9 @@
     }
 }
 
-fn show(load: &Load, how: Placement, all: &[Outcome]) {
+fn print_outcomes(load: &Load, policy: Placement, all: &[Outcome]) {
     let mean = |f: &dyn Fn(&Outcome) -> f64| all.iter().map(f).sum::<f64>() / all.len() as f64;
-    print!("{:<24} {how:<9?} worth {:.3}", load.name, mean(&|o| o.worth));
+    print!("{:<24} {policy:<9?} worth {:.3}", load.name, mean(&|o| o.worth));
     for name in ["gangs", "patient", "urgent"] {
         let worth = mean(&|o| o.queues[name].worth);
         let (p50, p95) = (
@@ -80,8 +81,8 @@
     );
 }
 
-/// One small load.
-fn smoke() {
+/// Runs one small load and checks its outcome.
+fn check_small_load() {
     let mut load = Load::small_runners(12).times("smoke", 0.25);
     load.seconds = 3.0;
     let out = load::play(&load, Placement::BestFit, 1);
@@ -91,18 +92,18 @@
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
     if !args.iter().any(|a| a == "--bench") {
-        return smoke();
+        return check_small_load();
     }
     let args: Vec<String> = args.into_iter().filter(|a| !a.starts_with("--")).collect();
     let seeds: u64 = args.first().and_then(|a| a.parse().ok()).unwrap_or(3);
-    let only = args.get(1).cloned().unwrap_or_default();
-    let ways: usize = args.get(2).and_then(|a| a.parse().ok()).unwrap_or(3);
-    for load in loads().into_iter().filter(|l| l.name.contains(&only)) {
+    let name_part = args.get(1).cloned().unwrap_or_default();
+    let policies: usize = args.get(2).and_then(|a| a.parse().ok()).unwrap_or(3);
+    for load in loads().into_iter().filter(|l| l.name.contains(&name_part)) {
         let all = [Placement::BestFit, Placement::FirstFit, Placement::Random];
-        for how in all.into_iter().take(ways) {
-            let all: Vec<Outcome> = (0..seeds).map(|s| load::play(&load, how, s)).collect();
-            show(&load, how, &all);
-            if how == Placement::BestFit {
+        for policy in all.into_iter().take(policies) {
+            let all: Vec<Outcome> = (0..seeds).map(|s| load::play(&load, policy, s)).collect();
+            print_outcomes(&load, policy, &all);
+            if policy == Placement::BestFit {
                 plot(&all[0].used);
             }
         }
--- a/src/http.rs
+++ b/src/http.rs
@@ -22,8 +22,8 @@
 /// connection whose network path is lost stays open for many minutes.
 const UNACKED_MS: u64 = 4_000;
 
-/// Time limit for a whole answer, as a multiple of the limit for its head. Bounds a call to a server
-/// that sends its answer very slowly.
+/// Time limit for a whole answer, as a multiple of the limit for its head. Bounds a call to a
+/// server that sends its answer very slowly.
 const MAX_ANSWER_WAITS: u64 = 10;
 
 /// Size of the buffer for reading a body, bytes.
@@ -104,9 +104,9 @@
 
     fn put_back(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.lock().unwrap();
-        let kept = idle.entry(addr).or_default();
-        if kept.len() < IDLE_PER_ADDR {
-            kept.push(stream);
+        let conns = idle.entry(addr).or_default();
+        if conns.len() < IDLE_PER_ADDR {
+            conns.push(stream);
         }
     }
 
@@ -122,18 +122,18 @@
         addr: SocketAddr,
         method: Method,
         path: &str,
-        head: &[(&str, &str)],
+        headers: &[(&str, &str)],
         body: Option<Vec<u8>>,
         ms: u64,
     ) -> Result<Reply, CallError> {
-        let req = request(addr, method, path, head, body);
+        let req = request(addr, method, path, headers, body);
         self.send(addr, req.map_err(|e| CallError::Connect(e.to_string()))?, ms, ms).await
     }
 
     /// Reads a large answer from `addr`: waits at most `ms` for its head and for each further part,
-    /// and [`MAX_ANSWER_WAITS`] times `ms` for all of it. A limit of `ms` for the whole would depend
-    /// on the size and the network: at 10 Mbit/s an answer of 2 MB takes 1.6 s. If it timed out
-    /// earlier, the request would be repeated, and unused answers would fill the network.
+    /// and [`MAX_ANSWER_WAITS`] times `ms` for all of it. A limit of `ms` for the whole would
+    /// depend on the size and the network: at 10 Mbit/s an answer of 2 MB takes 1.6 s. If it timed
+    /// out earlier, the request would be repeated, and unused answers would fill the network.
     pub async fn fetch(&self, addr: SocketAddr, path: &str, ms: u64) -> Result<Reply, CallError> {
         let req = request(addr, Method::Get, path, &[], None);
         let req = req.map_err(|e| CallError::Connect(e.to_string()))?;
@@ -151,9 +151,9 @@
             Some(s) => s,
             None => self.open(addr, ms).await?,
         };
-        let whole = self.exchange(stream.clone(), req, ms);
-        let sent = self.clock.timeout(whole_ms, whole).await;
-        match sent.unwrap_or(Err(CallError::Timeout)) {
+        let exchange = self.exchange(stream.clone(), req, ms);
+        let result = self.clock.timeout(whole_ms, exchange).await;
+        match result.unwrap_or(Err(CallError::Timeout)) {
             Ok((reply, reusable)) => {
                 if reusable {
                     self.put_back(addr, stream);
@@ -179,10 +179,10 @@
         let mut res = head.map_err(|e| CallError::Broken(e.to_string()))?;
         let close = res.header("Connection").is_some_and(|v| v.as_str() == "close");
         let status = res.status().into();
-        let mut from = res.take_body();
+        let mut source = res.take_body();
         let (mut body, mut buffer) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
-            let read = self.clock.timeout(ms, from.read(&mut buffer)).await.map_err(late)?;
+            let read = self.clock.timeout(ms, source.read(&mut buffer)).await.map_err(late)?;
             match read.map_err(|e| CallError::Broken(e.to_string()))? {
                 0 => return Ok((Reply { status, body }, !close)),
                 n => body.extend_from_slice(&buffer[..n]),
@@ -203,12 +203,12 @@
     addr: SocketAddr,
     method: Method,
     path: &str,
-    head: &[(&str, &str)],
+    headers: &[(&str, &str)],
     body: Option<Vec<u8>>,
 ) -> http::Result<http::Request> {
     let url = Url::parse(&format!("http://{addr}{path}"))?;
     let mut req = http::Request::new(method, url);
-    for (name, value) in head {
+    for (name, value) in headers {
         req.insert_header(*name, *value);
     }
     if let Some(b) = body {
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -91,8 +91,8 @@
     pub instances_ms: u64,
     /// Time after which a task lease expires unless extended; the worker then kills the task.
     pub hold_ms: u64,
-    /// Time for which a stopping entry accepts requests, until the load balancer has seen that it is
-    /// not ready.
+    /// Time for which a stopping entry accepts requests, until the load balancer has seen that it
+    /// is not ready.
     pub linger_ms: u64,
     /// Interval between two commits of write records, per entry instance of the domain.
     pub ledger_ms: u64,
--- a/src/runner/conn.rs
+++ b/src/runner/conn.rs
@@ -124,7 +124,7 @@
 /// not run.
 pub async fn serve(r: Arc<Runner>, stream: TcpStream, gen: u64, stop: Stop) {
     let Ok(ws) = async_tungstenite::accept_async(stream).await else { return };
-    r.open.fetch_add(1, Ordering::SeqCst);
+    r.open_conns.fetch_add(1, Ordering::SeqCst);
     let (mut sink, mut source) = ws.split();
     let (tx, rx) = channel::unbounded::<Frame>();
     let writer = {
@@ -209,5 +209,5 @@
     futures::future::join_all(handlers).await;
     drop(tx);
     writer.await;
-    r.open.fetch_sub(1, Ordering::SeqCst);
+    r.open_conns.fetch_sub(1, Ordering::SeqCst);
 }
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -55,10 +55,10 @@
     writes: Mutex<BTreeMap<String, WriteState>>,
     /// Random number that identifies this incarnation of the runner.
     pub incarnation: u64,
-    lose: AtomicU64,
+    answers_to_lose: AtomicU64,
     lookups: AtomicU64,
     busy: AtomicU64,
-    open: AtomicUsize,
+    open_conns: AtomicUsize,
     in_flight: AtomicUsize,
     queued: AtomicUsize,
     generation: AtomicU64,
@@ -80,10 +80,10 @@
             slot_tx,
             writes: Mutex::new(BTreeMap::new()),
             incarnation: rand::random::<u64>() >> 1,
-            lose: AtomicU64::new(0),
+            answers_to_lose: AtomicU64::new(0),
             lookups: AtomicU64::new(0),
             busy: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
+            open_conns: AtomicUsize::new(0),
             in_flight: AtomicUsize::new(0),
             queued: AtomicUsize::new(0),
             generation: AtomicU64::new(0),
@@ -99,7 +99,7 @@
             writes: runs.values().sum(),
             writes_executed_twice: runs.values().filter(|&&n| n > 1).count() as u64,
             busy: self.busy.load(Ordering::Relaxed),
-            connections: self.open.load(Ordering::Relaxed),
+            connections: self.open_conns.load(Ordering::Relaxed),
         }
     }
 
@@ -115,13 +115,13 @@
 
     /// Fault injection: the next `n` requests are executed and their answers are lost.
     pub fn lose_answers(&self, n: u64) {
-        self.lose.store(n, Ordering::SeqCst);
+        self.answers_to_lose.store(n, Ordering::SeqCst);
     }
 
     /// Whether to lose this answer; counts it if so.
     fn lose_next_answer(&self) -> bool {
         let take = |n: u64| n.checked_sub(1);
-        self.lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok()
+        self.answers_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok()
     }
 
     /// Fault injection: all present connections become permanently silent. They stay open, but
@@ -162,7 +162,7 @@
         loop {
             let Some(accepted) = stop.unless_fired(listener.accept()).await else { break };
             let (stream, _) = accepted?;
-            if self.open.load(Ordering::SeqCst) >= self.knobs.connections as usize {
+            if self.open_conns.load(Ordering::SeqCst) >= self.knobs.connections as usize {
                 metrics::counter!("runner_connections_refused").increment(1);
                 continue;
             }
--- a/src/smoke/calls.rs
+++ b/src/smoke/calls.rs
@@ -81,16 +81,16 @@
     bases: Vec<String>,
     /// Set at the end of the load; the loops then return.
     pub done: AtomicBool,
-    lookups: Latency,
-    writes: Latency,
-    ok: AtomicU64,
-    failed: AtomicU64,
-    crossed: AtomicU64,
-    written: AtomicU64,
-    refused: AtomicU64,
-    unknown: AtomicU64,
+    lookup_latency: Latency,
+    write_latency: Latency,
+    lookups_ok: AtomicU64,
+    lookups_failed: AtomicU64,
+    lookups_crossed: AtomicU64,
+    writes_ok: AtomicU64,
+    writes_refused: AtomicU64,
+    writes_unknown: AtomicU64,
     edits: AtomicU64,
-    edit_us: AtomicU64,
+    slowest_edit_us: AtomicU64,
     reverts: AtomicU64,
     run_id: u64,
 }
@@ -101,16 +101,16 @@
         Self {
             bases,
             done: AtomicBool::new(false),
-            lookups: Latency::new(),
-            writes: Latency::new(),
-            ok: AtomicU64::new(0),
-            failed: AtomicU64::new(0),
-            crossed: AtomicU64::new(0),
-            written: AtomicU64::new(0),
-            refused: AtomicU64::new(0),
-            unknown: AtomicU64::new(0),
+            lookup_latency: Latency::new(),
+            write_latency: Latency::new(),
+            lookups_ok: AtomicU64::new(0),
+            lookups_failed: AtomicU64::new(0),
+            lookups_crossed: AtomicU64::new(0),
+            writes_ok: AtomicU64::new(0),
+            writes_refused: AtomicU64::new(0),
+            writes_unknown: AtomicU64::new(0),
             edits: AtomicU64::new(0),
-            edit_us: AtomicU64::new(0),
+            slowest_edit_us: AtomicU64::new(0),
             reverts: AtomicU64::new(0),
             run_id: rand::random(),
         }
@@ -134,12 +134,12 @@
             let start = Instant::now();
             match get_json::<Answer>(&format!("{}/lookup?key={key}", self.base(n))).await {
                 Some(a) if a.value == wire::value_for(&key) && a.key == key => {
-                    self.ok.fetch_add(1, Ordering::Relaxed);
-                    self.lookups.record(start);
+                    self.lookups_ok.fetch_add(1, Ordering::Relaxed);
+                    self.lookup_latency.record(start);
                 }
-                Some(_) => drop(self.crossed.fetch_add(1, Ordering::Relaxed)),
+                Some(_) => drop(self.lookups_crossed.fetch_add(1, Ordering::Relaxed)),
                 None => {
-                    self.failed.fetch_add(1, Ordering::Relaxed);
+                    self.lookups_failed.fetch_add(1, Ordering::Relaxed);
                     task::sleep(BACKOFF).await;
                 }
             }
@@ -169,11 +169,11 @@
             }
             let count = match last_status {
                 200 => {
-                    self.writes.record(start);
-                    &self.written
+                    self.write_latency.record(start);
+                    &self.writes_ok
                 }
-                503 => &self.refused,
-                _ => &self.unknown,
+                503 => &self.writes_refused,
+                _ => &self.writes_unknown,
             };
             count.fetch_add(1, Ordering::Relaxed);
             task::sleep(LOOP_INTERVAL).await;
@@ -220,24 +220,24 @@
                     task::sleep(LOOP_INTERVAL).await;
                 }
             }
-            self.edit_us.fetch_max(start.elapsed().as_micros() as u64, Ordering::Relaxed);
+            self.slowest_edit_us.fetch_max(start.elapsed().as_micros() as u64, Ordering::Relaxed);
         }
     }
 
     /// Copies the counters into `report`.
     pub fn fill(&self, report: &mut Report) {
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        report.lookups_ok = get(&self.ok);
-        report.lookups_failed = get(&self.failed);
-        report.lookups_crossed = get(&self.crossed);
-        report.lookup_p50_ms = self.lookups.ms(0.5);
-        report.lookup_p99_ms = self.lookups.ms(0.99);
-        report.writes_ok = get(&self.written);
-        report.writes_refused = get(&self.refused);
-        report.writes_unknown = get(&self.unknown);
-        report.write_p50_ms = self.writes.ms(0.5);
+        report.lookups_ok = get(&self.lookups_ok);
+        report.lookups_failed = get(&self.lookups_failed);
+        report.lookups_crossed = get(&self.lookups_crossed);
+        report.lookup_p50_ms = self.lookup_latency.ms(0.5);
+        report.lookup_p99_ms = self.lookup_latency.ms(0.99);
+        report.writes_ok = get(&self.writes_ok);
+        report.writes_refused = get(&self.writes_refused);
+        report.writes_unknown = get(&self.writes_unknown);
+        report.write_p50_ms = self.write_latency.ms(0.5);
         report.edits_ok = get(&self.edits);
-        report.edit_max_ms = get(&self.edit_us) as f64 / 1000.0;
+        report.edit_max_ms = get(&self.slowest_edit_us) as f64 / 1000.0;
         report.catalogue_reverts = get(&self.reverts);
     }
 }
--- a/src/smoke/report.rs
+++ b/src/smoke/report.rs
@@ -89,7 +89,8 @@
             && self.catalogue_reverts == 0
     }
 
-    /// Adds the platform's counters: rates between two readings, and the invariants of the later one.
+    /// Adds the platform's counters: rates between two readings, and the invariants of the later
+    /// one.
     pub fn fill_platform(&mut self, before: &Stats, after: &Stats) {
         let ms = after.uptime_ms.saturating_sub(before.uptime_ms).max(1);
         let rate = |a: u64, b: u64| a.saturating_sub(b) as f64 * 1000.0 / ms as f64;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -55,8 +55,8 @@
         /// Number of executions of this write id on this runner.
         runs: u64,
     },
-    /// First frame of a connection; identifies the incarnation of the runner. A restarted runner has
-    /// no record of the writes that it executed before.
+    /// First frame of a connection; identifies the incarnation of the runner. A restarted runner
+    /// has no record of the writes that it executed before.
     Hello {
         /// Random number drawn at the runner's start.
         incarnation: u64,
--- a/tests/common/procs.rs
+++ b/tests/common/procs.rs
@@ -1,11 +1,11 @@
-//! A cell of real processes on loopback, for tests that kill, stop and resume them.
+//! A cell of separate processes on loopback, for tests that kill, stop and resume processes.
 
 use currantgw::options::Cell;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// The processes of a cell; whatever still runs is killed when it is dropped.
+/// The processes of a cell; those still running are killed on drop.
 pub struct Procs {
     pub cell: Cell,
     dir: PathBuf,
@@ -13,19 +13,19 @@
 }
 
 impl Procs {
-    /// Writes the settings of `cell` and starts every process of it.
+    /// Writes the settings of `cell`, starts all its processes and waits until they are ready.
     pub async fn start(cell: Cell) -> Self {
         let name = format!("currantgw-test-{}-{}", std::process::id(), cell.platform.listen.port());
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
         let text = serde_json::to_string(&cell).unwrap();
         std::fs::write(dir.join("cell.json"), text).unwrap();
-        let mut me = Self { cell: cell.clone(), dir, children: Vec::new() };
-        me.spawn("platform", &["platform"]);
-        cell.runners.iter().for_each(|r| me.spawn(&r.id, &["runner", "--id", &r.id]));
-        cell.entries.iter().for_each(|e| me.spawn(&e.id, &["entry", "--id", &e.id]));
-        me.ready().await;
-        me
+        let mut procs = Self { cell: cell.clone(), dir, children: Vec::new() };
+        procs.spawn("platform", &["platform"]);
+        cell.runners.iter().for_each(|r| procs.spawn(&r.id, &["runner", "--id", &r.id]));
+        cell.entries.iter().for_each(|e| procs.spawn(&e.id, &["entry", "--id", &e.id]));
+        procs.wait_ready().await;
+        procs
     }
 
     /// Starts one more process.
@@ -41,7 +41,8 @@
         self.children.push((name.to_string(), child));
     }
 
-    /// Runs one command of the command line to its end: whether it succeeded, and what it printed.
+    /// Runs a command of the command line to its end. Returns whether it succeeded, and its output:
+    /// standard output on success, standard error on failure.
     pub async fn command(&self, args: &[&str]) -> (bool, String) {
         let out = async_std::task::spawn_blocking({
             let mut cmd = Command::new(env!("CARGO_BIN_EXE_currantgw"));
@@ -60,15 +61,15 @@
         path.to_string_lossy().into_owned()
     }
 
-    /// Sends a signal (as `kill` names it) to the process `name`.
+    /// Sends a signal, such as `KILL`, to the process `name` that was started last.
     pub fn signal(&self, name: &str, signal: &str) {
         let (_, child) = self.children.iter().rev().find(|(n, _)| n == name).unwrap();
         let pid = child.id().to_string();
-        let sent = Command::new("kill").args([&format!("-{signal}"), &pid]).status().unwrap();
-        assert!(sent.success());
+        let kill = Command::new("kill").args([&format!("-{signal}"), &pid]).status().unwrap();
+        assert!(kill.success());
     }
 
-    /// Waits, bounded, until the process `name` has exited; whether it did so with status 0.
+    /// Waits up to 10 s for the process `name` to exit; true if it did with status 0.
     pub async fn exited(&mut self, name: &str) -> bool {
         let (_, child) = self.children.iter_mut().rev().find(|(n, _)| n == name).unwrap();
         for _ in 0..200 {
@@ -90,7 +91,7 @@
         format!("http://{}", self.cell.platform.listen)
     }
 
-    /// Shards held by the entries that answer, together.
+    /// Number of shards held by the `entries` that answer.
     pub async fn held(&self, entries: &[usize]) -> usize {
         let mut held = 0;
         for &i in entries {
@@ -100,26 +101,26 @@
         held
     }
 
-    async fn ready(&self) {
+    async fn wait_ready(&self) {
         let all: Vec<usize> = (0..self.cell.entries.len()).collect();
         let shards: u32 = self.cell.platform.domains.iter().map(|d| d.racks).sum();
-        let linked = |dump: serde_json::Value| {
+        let links_up = |dump: serde_json::Value| {
             let links = dump["pool"]["links"].as_object().cloned().unwrap_or_default();
             links.len() == self.cell.runners.len() && links.values().all(|l| l["connected"] == true)
         };
-        let ok = super::eventually(200, || async {
+        let cell_ready = super::eventually(200, || async {
             if self.held(&all).await != shards as usize {
                 return false;
             }
             for &i in &all {
                 let dump = super::try_get(&format!("{}/debug/state", self.url(i))).await;
-                if !dump.is_some_and(linked) {
+                if !dump.is_some_and(links_up) {
                     return false;
                 }
             }
             true
         });
-        assert!(ok.await, "the cell did not become ready");
+        assert!(cell_ready.await, "the cell did not become ready");
     }
 }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,5 +1,5 @@
-//! Promises of the brief when whole processes are killed, stopped, resumed or told to stop: each
-//! test starts a small cell of real processes on loopback.
+//! Invariants that hold when whole processes are killed, paused, resumed or shut down. Each test
+//! starts a small cell of separate processes on loopback.
 
 mod common;
 
@@ -27,19 +27,19 @@
     get(&format!("{}/stats", p.platform())).await.1
 }
 
-async fn fault(p: &Procs, fault: serde_json::Value) {
+async fn add_fault(p: &Procs, fault: serde_json::Value) {
     let (status, body) =
         post(&format!("{}/faults", p.platform()), &serde_json::json!([fault])).await;
     assert_eq!(status, 200, "{body}");
 }
 
-/// The command line drives a cell: edits, submissions, lookups and dumps succeed, and what is
-/// refused or cannot be read fails with a message that says why.
+/// Edits, submissions, lookups and dumps by the command line succeed; refused requests and
+/// unreadable files fail with a message that gives the reason.
 #[async_std::test]
-async fn command_line_drives_a_cell() {
+async fn command_line_controls_a_cell() {
     let p = Procs::start(common::cell(1, 1, 1)).await;
-    let at = p.cell.entries[0].listen.to_string();
-    let entry = ["--entry", at.as_str()];
+    let addr = p.cell.entries[0].listen.to_string();
+    let entry = ["--entry", addr.as_str()];
     let edit = p.file("edit.json", include_str!("../examples/catalogue.json"));
     let (ok, out) = p.command(&["catalogue", entry[0], entry[1], "apply", &edit]).await;
     assert!(ok && out.contains("\"version\":1"), "{out}");
@@ -51,7 +51,7 @@
     assert!(finished(&job_url(&p, 0, "cli")).await);
     let (ok, out) = p.command(&["lookup", entry[0], entry[1], "medic-7"]).await;
     assert!(ok && out.contains(&currantgw::wire::value_for("medic-7")), "{out}");
-    let (ok, out) = p.command(&["dump", &at]).await;
+    let (ok, out) = p.command(&["dump", &addr]).await;
     assert!(ok && out.contains("\"role\":\"entry\""), "{out}");
     let huge = p.file("huge.json", &job("cronometria/splits", 0, 20, "none").to_string());
     let (ok, out) = p.command(&["submit", entry[0], entry[1], &huge]).await;
@@ -63,14 +63,14 @@
     assert!(!ok && out.contains("no entry nobody in the settings"), "{out}");
 }
 
-/// Symptom: tasks of an accepted job stay "placed" for good and never run.
-/// Sequence: entries commit placements while no start order gets through; one entry is killed (SIGKILL); the interface comes back; another entry takes over.
-/// Cause: a takeover that trusts the placement rows. It must compare them with what the workers
-/// run and start what the dead holder placed and did not start.
+/// An entry is killed after it committed placements whose start orders did not get through; another
+/// entry takes its shards over. It must compare the placement rows with the tasks that the workers
+/// run and start the missing ones, or the tasks stay placed permanently and never run.
 #[async_std::test]
 async fn killed_between_commit_and_start_loses_no_task() {
     let p = started(2, 1, 1).await;
-    fault(&p, serde_json::json!({ "target": "starts", "kind": "outage", "for_ms": 1500 })).await;
+    add_fault(&p, serde_json::json!({ "target": "starts", "kind": "outage", "for_ms": 1500 }))
+        .await;
     let keys: Vec<String> = (0..12).map(|i| format!("kill-{i}")).collect();
     for k in &keys {
         let (status, body) =
@@ -79,7 +79,7 @@
     }
     async_std::task::sleep(Duration::from_millis(400)).await;
     p.signal("entry-0", "KILL");
-    assert_eq!(stats(&p).await["started"], 0, "the fault held back every start");
+    assert_eq!(stats(&p).await["started"], 0, "the fault blocked every start order");
     for k in &keys {
         assert!(finished(&job_url(&p, 1, k)).await, "{:?}", try_get(&job_url(&p, 1, k)).await);
     }
@@ -88,9 +88,9 @@
     assert_eq!(s["started"], 24, "each task started once");
 }
 
-/// Symptom: the first submission to an entry that has just started is answered 503, although its
-/// `/ready` answered 200. Sequence: the entry listens, and the platform takes a while to answer it
-/// (paused here; a busy machine does the same). Cause: an entry called itself ready from the start.
+/// An entry is not ready until it can accept submissions. If it were ready once it listens, the
+/// first submission would be answered 503 while the platform is slow to answer (paused here; a busy
+/// machine has the same effect).
 #[async_std::test]
 async fn entry_is_not_ready_before_it_takes_submissions() {
     let mut p = started(2, 1, 1).await;
@@ -108,11 +108,9 @@
     assert_eq!(status, 200, "{body}");
 }
 
-/// Symptom: a task runs on two workers at once after its scheduler woke from a pause.
-/// Sequence: an entry is stopped (SIGSTOP) while jobs are being placed, for longer than its
-/// lease; the other entry takes its shards over and places on; the first is resumed (SIGCONT)
-/// and goes on with the placements and starts it had in hand.
-/// Cause: a holder that trusts a lease it no longer has.
+/// An entry is paused (SIGSTOP) while jobs are being placed, for longer than its lease. The other
+/// entry takes its shards over, and the first one resumes (SIGCONT) with placements and start
+/// orders in progress. If it relied on its expired lease, a task would run on two workers at once.
 #[async_std::test]
 async fn paused_entry_wakes_and_doubles_nothing() {
     let p = started(2, 1, 1).await;
@@ -127,8 +125,8 @@
             p.signal("entry-0", "STOP");
         }
     }
-    let over = eventually(200, || async { p.held(&[1]).await == 2 }).await;
-    assert!(over, "the live entry did not take the paused one's shards over");
+    let taken_over = eventually(200, || async { p.held(&[1]).await == 2 }).await;
+    assert!(taken_over, "the live entry did not take the paused one's shards over");
     p.signal("entry-0", "CONT");
     for k in &keys {
         assert!(finished(&job_url(&p, 1, k)).await, "{:?}", try_get(&job_url(&p, 1, k)).await);
@@ -138,10 +136,10 @@
     assert_eq!(s["started"], 120, "each task started once");
 }
 
-/// Symptom: callers see broken answers whenever an entry is replaced.
-/// Sequence: lookups and a write are in flight through an entry that is told to stop (SIGTERM).
-/// Cause: closing runner connections or the listener under requests in flight. Each must get its
-/// whole answer, `/ready` must fail first, and the process must exit by itself with status 0.
+/// An entry shut down (SIGTERM) with lookups and a write in flight answers all of them (its
+/// `/ready` fails first), exits with status 0 and releases its shards at once. If it closed its
+/// runner connections or its listener first, callers would get broken answers whenever an entry is
+/// replaced.
 #[async_std::test]
 async fn entry_told_to_stop_finishes_requests_in_flight() {
     let mut p = started(2, 2, 300).await;
@@ -160,19 +158,18 @@
     async_std::task::sleep(Duration::from_millis(120)).await;
     p.signal("entry-0", "TERM");
     for l in lookups {
-        assert_eq!(l.await, 200, "a lookup in flight was cut");
+        assert_eq!(l.await, 200, "a lookup in flight failed");
     }
     let (status, done) = write.await;
     assert_eq!((status, &done["runs"]), (200, &1.into()), "{done}");
-    assert!(p.exited("entry-0").await, "the entry did not stop by itself");
-    let over = eventually(60, || async { p.held(&[1]).await == 2 }).await;
-    assert!(over, "its shards were not given up at once");
+    assert!(p.exited("entry-0").await, "the entry did not exit with status 0");
+    let taken_over = eventually(60, || async { p.held(&[1]).await == 2 }).await;
+    assert!(taken_over, "its shards were not released at once");
 }
 
-/// Symptom: callers see broken answers whenever a runner is replaced.
-/// Sequence: lookups are in flight on a runner that is told to stop (SIGTERM), others follow.
-/// Cause: a runner that drops its connections, or an entry that goes on sending to it until the
-/// lagging instance list says so. The runner says that it is leaving, ahead of the list.
+/// No lookup fails when a runner is shut down (SIGTERM) with lookups in flight and more to come.
+/// They would fail if the runner dropped its connections, or if the entry sent requests to it until
+/// the instance list, which lags, shows the change; the runner therefore announces its shutdown.
 #[async_std::test]
 async fn runner_told_to_stop_cuts_no_lookup() {
     let mut p = started(1, 2, 200).await;
@@ -190,16 +187,15 @@
     p.signal("runner-0", "TERM");
     for l in lookups {
         let (status, body) = l.await;
-        assert_eq!(status, 200, "a lookup was cut: {body}");
+        assert_eq!(status, 200, "a lookup failed: {body}");
     }
-    assert!(p.exited("runner-0").await, "the runner did not stop by itself");
+    assert!(p.exited("runner-0").await, "the runner did not exit with status 0");
 }
 
-/// Symptom: one split write is executed on two runners.
-/// Sequence: a write runs, its answer is lost; the caller repeats it through another entry, which
-/// prefers another runner.
-/// Cause: at most once per try instead of per write id. The repeat must find the first record,
-/// ask that runner, and return the first outcome.
+/// A write runs and its answer is lost; the caller repeats it at another entry, which prefers
+/// another runner. The repeat must find the record of the first attempt, query that runner and
+/// return its outcome. If writes ran at most once per attempt instead of per write id, two runners
+/// would execute the write.
 #[async_std::test]
 async fn repeated_write_after_lost_answer_runs_once() {
     let p = started(2, 2, 5).await;
@@ -219,10 +215,9 @@
     assert_eq!(runs, 1, "the write ran once in the whole cell");
 }
 
-/// Symptom: after a runner was replaced, a write repeated by its caller runs again.
-/// Sequence: a write runs and its answer is lost; the runner is killed and another life of it
-/// starts at the same address; the caller repeats the write.
-/// Cause: taking the new life for the old one. The outcome is unknown and must be said so.
+/// A write runs and its answer is lost; the runner is killed and restarted at the same address, and
+/// the caller repeats the write. The outcome is unknown and is reported as such. If the new
+/// incarnation were taken for the old one, the write would run again.
 #[async_std::test]
 async fn repeated_write_after_runner_restart_is_not_run_again() {
     let mut p = started(1, 1, 5).await;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings: the example cell is valid and fully documented; each invalid file is refused with
-//! the error that names its field.
+//! Tests of the settings: the example cell is valid and documents every field, and each invalid
+//! file is refused with an error that names the field.
 
 use assert_matches::assert_matches;
 use currantgw::options::{self, SettingsError};
@@ -14,8 +14,8 @@
     assert_eq!(serde_json::to_value(&cell).unwrap(), serde_json::to_value(&from_file).unwrap());
 }
 
-/// Every field that the settings have is in the example and in the operator page, so that an
-/// operator reading either sees every setting with its default.
+/// Every field of the settings is in the example and in the operators' page, so that an operator
+/// finds every setting and its default in both.
 #[test]
 fn every_setting_is_in_the_example_and_documented() {
     let example: serde_json::Value = serde_json::from_str(options::DEFAULT_CELL).unwrap();
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,11 +1,11 @@
-//! The whole path on loopback: catalogue edits, submissions of every class, refusals, lookups.
+//! End-to-end tests of a cell on loopback: catalogue edits, submissions, refusals and lookups.
 
 mod common;
 
 use assert_matches::assert_matches;
 use common::{catalogue, eventually, get, post, post_raw, TestCell};
 
-/// A catalogue edit, then a submission: the tasks are placed, started and finish.
+/// After a catalogue edit, the tasks of a submitted job are placed, started and finished.
 #[async_std::test]
 async fn edit_then_submit_places_tasks() {
     let c = TestCell::start(common::cell(2, 2, 2)).await;
@@ -30,9 +30,8 @@
     c.stop().await;
 }
 
-/// Symptom: a gang that cannot fit is half-placed and holds workers while waiting.
-/// Sequence: a gang larger than its shard is submitted.
-/// Cause: placing tasks one by one. The gang must be placed whole or refused as "not run".
+/// A gang larger than its shard is refused as not run and starts no task. If its tasks were placed
+/// one by one, a part of it would occupy workers while the rest can never be placed.
 #[async_std::test]
 async fn gang_too_large_places_nothing_and_is_not_run() {
     let c = TestCell::start(common::cell(1, 1, 1)).await;
@@ -53,12 +52,11 @@
     c.stop().await;
 }
 
-/// Symptom: a gang that fits the shard but not its free room starts some tasks.
-/// Sequence: a long batch job fills most workers; a gang needing every worker arrives with a
-/// short deadline.
-/// Cause: partial placement. Nothing of the gang may start; at its deadline it is not run.
+/// A gang that fits the shard but not its free capacity starts no task and is refused at its
+/// deadline. Here a long batch job occupies most workers, and a gang that needs all of them follows
+/// with a short deadline; a partial placement would start some of its tasks.
 #[async_std::test]
-async fn gang_without_free_room_waits_then_is_refused_whole() {
+async fn gang_without_free_capacity_waits_then_is_refused_whole() {
     let c = TestCell::start(common::cell(1, 1, 1)).await;
     c.ready().await;
     post(&format!("{}/catalogue", c.url(0)), &catalogue(0)).await;
@@ -82,9 +80,8 @@
     c.stop().await;
 }
 
-/// Symptom: a malformed edit changes the catalogue or is answered with an untyped error.
-/// Sequence: malformed JSON, an unknown field, a bad range, each posted as an edit.
-/// Cause: lenient parsing. Each must be a typed 400 and the version must not move.
+/// An edit with malformed JSON, an unknown field or a value out of range is answered with a typed
+/// 400 and leaves the catalogue and its version unchanged. Lenient parsing would accept it.
 #[async_std::test]
 async fn malformed_edits_are_typed_400_and_change_nothing() {
     let c = TestCell::start(common::cell(1, 1, 1)).await;
@@ -107,11 +104,10 @@
     c.stop().await;
 }
 
-/// Symptom: two operators edit at once and one edit silently overwrites the other.
-/// Sequence: both read version 1, both post against base 1.
-/// Cause: an unconditional write. One must win; the other gets 409 with the version in force.
+/// Two edits of the same base version at the same time: one is applied, the other is answered 409
+/// with the present version. An unconditional write would overwrite one of them silently.
 #[async_std::test]
-async fn two_operators_at_once_one_wins_other_conflicts() {
+async fn one_of_two_concurrent_edits_is_applied_the_other_conflicts() {
     let c = TestCell::start(common::cell(2, 1, 1)).await;
     c.ready().await;
     assert_eq!(post(&format!("{}/catalogue", c.url(0)), &catalogue(0)).await.0, 200);
@@ -119,16 +115,16 @@
     a["entries"][0]["team"] = "alpha".into();
     let mut b = catalogue(1);
     b["entries"][0]["team"] = "beta".into();
-    let (ua, ub) = (format!("{}/catalogue", c.url(0)), format!("{}/catalogue", c.url(1)));
-    let ((sa, _), (sb, bb)) = futures::join!(post(&ua, &a), post(&ub, &b));
-    let mut statuses = [sa, sb];
+    let (url_a, url_b) = (format!("{}/catalogue", c.url(0)), format!("{}/catalogue", c.url(1)));
+    let ((status_a, _), (status_b, body_b)) = futures::join!(post(&url_a, &a), post(&url_b, &b));
+    let mut statuses = [status_a, status_b];
     statuses.sort();
     assert_eq!(statuses, [200, 409]);
-    let winner = if sa == 200 { "alpha" } else { "beta" };
-    if sb == 409 {
-        assert_eq!(bb["current"], 2);
+    let winner = if status_a == 200 { "alpha" } else { "beta" };
+    if status_b == 409 {
+        assert_eq!(body_b["current"], 2);
     }
-    let (late, body) = post(&ua, &a).await;
+    let (late, body) = post(&url_a, &a).await;
     assert_eq!((late, &body["current"]), (409, &2.into()), "an edit of an old version, later");
     for i in 0..2 {
         let url = format!("{}/catalogue", c.url(i));
@@ -142,20 +138,20 @@
     c.stop().await;
 }
 
-/// Lookups come back whole and right, each with the value of its own key.
+/// Concurrent lookups are each answered with the value of their own key.
 #[async_std::test]
 async fn lookups_answer_their_own_key() {
     let c = TestCell::start(common::cell(1, 2, 1)).await;
     c.ready().await;
     let keys: Vec<String> = (0..50).map(|i| format!("runner-{i}")).collect();
-    let answers = futures::future::join_all(keys.iter().map(|k| get_lookup(&c, k))).await;
+    let answers = futures::future::join_all(keys.iter().map(|k| lookup_value(&c, k))).await;
     for (k, a) in keys.iter().zip(answers) {
         assert_matches!(a, Some(v) if v == currantgw::wire::value_for(k));
     }
     c.stop().await;
 }
 
-async fn get_lookup(c: &TestCell, key: &str) -> Option<String> {
+async fn lookup_value(c: &TestCell, key: &str) -> Option<String> {
     let (status, body) = get(&format!("{}/lookup?key={key}", c.url(0))).await;
     (status == 200).then(|| body["value"].as_str().unwrap().to_string())
 }
