--- a/src/control/engine/round.rs
+++ b/src/control/engine/round.rs
@@ -1,115 +1,116 @@
-//! What planning may cost, and what a round knows of the runners as a whole.
+//! Bounds of a planning round, and the sums over all runners that a round computes.
 //!
-//! The load this answers: thousands of waiting steps on hundreds of runners. If a round visits all of
-//! them it takes longer than the time between rounds, answers of runners and of the store wait
-//! behind it, and what is urgent starts late just when it matters; one notices by rounds that look at
-//! more than a hundred thousand runners (`looks` in the state dump). So steps are visited in sweeps: a
-//! sweep takes the waiting steps in order of rank, over as many rounds as its work needs, and urgent
-//! steps that have opened or heard an answer meanwhile go before the rest of it. No step is starved,
-//! since each sweep visits all.
+//! Needed for thousands of waiting steps on hundreds of runners. A round that planned all of them
+//! would take longer than the interval between rounds: answers of runners and of the store would be
+//! processed late, and urgent steps would start late when it matters most. Visible as rounds that
+//! check more than a hundred thousand runners (`looks` in the state dump). Steps are therefore
+//! planned in passes: a pass takes the waiting steps in order of rank, over as many rounds as
+//! needed, and urgent steps that were opened or received advice meanwhile are planned before the
+//! rest of it. No step starves, since each pass covers all.
 
-use super::reserve::Claims;
+use super::reserve::GangReservations;
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::StepId;
 use crate::control::queue::Rank;
 use std::collections::BTreeMap;
 use std::vec;
 
-/// Runners looked at and steps visited in a round, after which the sweep goes on in the next one: a small
-/// part of the time between rounds.
-pub const MOST_LOOKS: u64 = 16_000;
+/// Maximum number of runners and steps checked in a round, after which the planning pass continues
+/// in the next one: takes a small part of the interval between rounds.
+pub const MAX_CHECKS_PER_ROUND: u64 = 16_000;
 
-/// ... of which urgent steps that are visited before the rest of a sweep may use this many, so that
-/// every sweep comes to its end.
-pub(super) const MOST_AHEAD: u64 = MOST_LOOKS / 2;
+/// Part of [`MAX_CHECKS_PER_ROUND`] that urgent steps planned before the rest of a pass may use, so
+/// that every pass ends.
+pub(super) const MAX_URGENT_CHECKS: u64 = MAX_CHECKS_PER_ROUND / 2;
 
-/// Waiting steps in order of rank, and the runners reserved by those visited so far.
+/// Waiting steps in order of rank, and the runners reserved by those planned so far.
 #[derive(Default)]
-pub(super) struct Sweep {
-    left: vec::IntoIter<(Rank, StepId)>,
-    pub claims: Claims,
+pub(super) struct PlanningPass {
+    remaining: vec::IntoIter<(Rank, StepId)>,
+    pub reserved: GangReservations,
 }
 
-impl Sweep {
-    /// A sweep of steps in order.
-    pub fn new(order: Vec<(Rank, StepId)>, claims: Claims) -> Self {
-        Self { left: order.into_iter(), claims }
+impl PlanningPass {
+    /// A pass over steps in the given order.
+    pub fn new(order: Vec<(Rank, StepId)>, reserved: GangReservations) -> Self {
+        Self { remaining: order.into_iter(), reserved }
     }
 
-    /// Whether every step has been visited.
-    pub fn over(&self) -> bool {
-        self.left.len() == 0
+    /// Whether every step has been planned.
+    pub fn finished(&self) -> bool {
+        self.remaining.len() == 0
     }
 }
 
-impl Iterator for Sweep {
+impl Iterator for PlanningPass {
     type Item = (Rank, StepId);
 
     fn next(&mut self) -> Option<Self::Item> {
-        self.left.next()
+        self.remaining.next()
     }
 }
 
-/// Room of a service's runners that take new tasks.
+/// Capacity of a service's runners that take new tasks.
 #[derive(Clone, Debug, Default)]
-struct Room {
-    /// Runners by free processor room when the round began, most first. Placements only take room, so
-    /// that none has more later in the round.
+struct ServiceCapacity {
+    /// Runners by their free processor capacity when the round began, largest first. Placements
+    /// only reduce it during the round.
     by_cpu: Vec<(u64, RunnerKey)>,
-    /// Free processor room of all.
+    /// Free processor capacity of all runners.
     free: u64,
-    /// All their processor room.
-    all: u64,
-    /// Value of `moves` when the sums were made.
-    moves: u64,
+    /// Processor capacity of all runners.
+    total: u64,
+    /// Value of `Round::changes` when the sums were computed.
+    changes: u64,
 }
 
-/// What a round has worked out of the runners, by service, once for all waiting steps.
+/// Sums over the runners of each service, computed once a round for all waiting steps.
 #[derive(Debug, Default)]
 pub(super) struct Round {
-    rooms: BTreeMap<String, Room>,
-    /// Placements and bookings so far.
-    pub moves: u64,
+    capacities: BTreeMap<String, ServiceCapacity>,
+    /// Number of placements and changes of provisional reservations in this round.
+    pub changes: u64,
 }
 
 impl Engine {
-    /// Sums of a service's room; made anew after a placement.
-    fn room_now(&mut self, service: &str, now: Now) -> &Room {
-        let moves = self.round.moves;
-        if self.round.rooms.get(service).is_none_or(|r| r.moves != moves) {
-            let room = self.sum_room(service, now);
-            self.round.rooms.insert(service.to_string(), room);
+    /// Sums for a service; computed again after a placement.
+    fn current_capacity(&mut self, service: &str, now: Now) -> &ServiceCapacity {
+        let changes = self.round.changes;
+        if self.round.capacities.get(service).is_none_or(|r| r.changes != changes) {
+            let capacity = self.sum_capacity(service, now);
+            self.round.capacities.insert(service.to_string(), capacity);
         }
-        &self.round.rooms[service]
+        &self.round.capacities[service]
     }
 
-    fn sum_room(&mut self, service: &str, now: Now) -> Room {
+    fn sum_capacity(&mut self, service: &str, now: Now) -> ServiceCapacity {
         self.counts.looks += self.runners.len() as u64;
-        let mut room = Room { moves: self.round.moves, ..Room::default() };
+        let mut capacity =
+            ServiceCapacity { changes: self.round.changes, ..ServiceCapacity::default() };
         for (k, r) in self.runners.iter() {
             let serves = r.entry.as_ref().is_some_and(|e| e.service == service);
             if serves && r.usable(now) {
-                room.free += r.free().cpu;
-                room.all += r.room().cpu;
-                room.by_cpu.push((r.free().cpu, k));
+                capacity.free += r.free().cpu;
+                capacity.total += r.room().cpu;
+                capacity.by_cpu.push((r.free().cpu, k));
             }
         }
-        room.by_cpu.sort_unstable_by(|a, b| b.cmp(a));
-        room
+        capacity.by_cpu.sort_unstable_by(|a, b| b.cmp(a));
+        capacity
     }
 
-    /// Free and whole processor room of a service's runners.
-    pub(super) fn service_room(&mut self, service: &str, now: Now) -> (u64, u64) {
-        let room = self.room_now(service, now);
-        (room.free, room.all)
+    /// Free and total processor capacity of a service's runners.
+    pub(super) fn service_capacity(&mut self, service: &str, now: Now) -> (u64, u64) {
+        let capacity = self.current_capacity(service, now);
+        (capacity.free, capacity.total)
     }
 
-    /// Runners of a service that may have `cpu` free, most first.
-    pub(super) fn roomy(&mut self, service: &str, cpu: u64, now: Now) -> Vec<RunnerKey> {
-        if !self.round.rooms.contains_key(service) {
-            self.room_now(service, now);
+    /// Runners of a service that may have `cpu` free, largest free capacity first.
+    pub(super) fn runners_with_cpu(&mut self, service: &str, cpu: u64, now: Now) -> Vec<RunnerKey> {
+        if !self.round.capacities.contains_key(service) {
+            self.current_capacity(service, now);
         }
-        let all = self.round.rooms.get(service).into_iter().flat_map(|r| &r.by_cpu);
+        let all = self.round.capacities.get(service).into_iter().flat_map(|r| &r.by_cpu);
         let keys: Vec<RunnerKey> = all.take_while(|(c, _)| *c >= cpu).map(|(_, k)| *k).collect();
         self.counts.looks += keys.len() as u64;
         keys
--- a/src/control/engine/runs.rs
+++ b/src/control/engine/runs.rs
@@ -1,55 +1,56 @@
-//! Runs of tasks: ordering starts and stops, and what their answers mean.
+//! Runs of tasks: start and stop orders, and the handling of their results.
 //!
-//! An order without an answer may be carried out seconds later. What goes wrong otherwise: its
-//! room is given away and the runner is oversold, or the task starts elsewhere and runs twice.
-//! So a run holds its room until its end is listed, or a stop for its attempt was answered and a
-//! later look does not show it, or the runner's lease or life is over.
+//! An order without an answer may still be carried out seconds later. If the capacity of its run
+//! were released before, the runner could be overcommitted, or the task could start elsewhere and
+//! run twice. A run therefore keeps its capacity until its completion is reported; or a stop of its
+//! attempt was acknowledged and a later poll does not list it; or the lease or the incarnation of
+//! its runner is over.
 
 use super::progress::Progress;
 use super::{Action, Engine, Now, RunnerKey};
 use crate::control::model::{Attempt, StepId, TaskId};
 use crate::control::ports::{Order, Refusal, Start};
 
-/// Wait before an unanswered start is repeated, ms: a runner answers in a few ms, and the
-/// repetition meets a run already there without harm.
-const RETRY_START_MS: u64 = 60;
+/// Delay before an unanswered start is repeated, ms. A runner answers within a few ms, and a
+/// repeated start of a run that already exists has no effect.
+const START_RETRY_MS: u64 = 60;
 
-/// Tries of a start before its attempt is stopped and the task goes elsewhere.
-const START_TRIES: u32 = 3;
+/// Starts sent for an attempt before the attempt is stopped and the task goes elsewhere.
+const MAX_START_TRIES: u32 = 3;
 
-/// A ticket must be good for this much longer when a start goes out, ms: the way of its answer and of
-/// the start, several times over.
-const TICKET_WAY_MS: u64 = 20;
+/// A ticket must be valid for this much longer when a start is sent, ms: several times the delay of
+/// the advice service's answer and of the start.
+const TICKET_START_MARGIN_MS: u64 = 20;
 
-/// Time between repetitions of a stop that had no answer, ms.
-const RETRY_STOP_MS: u64 = 300;
+/// Interval between repetitions of an unanswered stop, ms.
+const STOP_RETRY_MS: u64 = 300;
 
-/// How far a run has come.
+/// State of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its placement is being stored; nothing has been sent.
+    /// Its placement is being stored; no start has been sent.
     Storing {
-        /// Revision of the job that holds it.
+        /// Revision of the job that contains the placement.
         rev: u64,
     },
     /// The start was sent.
     Sent,
-    /// Found in the store at a takeover; the runner has not been asked yet.
+    /// Read from the store by a new leader; the runner has not been polled yet.
     Inherited,
-    /// It ran at this time of the runner's clock, ms.
+    /// The runner confirmed that it runs.
     Running {
-        /// Runner's clock, ms.
+        /// Time of the runner's clock when it confirmed the start, ms.
         clock: u64,
     },
     /// A stop was sent.
     Stopping {
-        /// Runner's clock when it answered, ms.
+        /// Time of the runner's clock when it acknowledged the stop, ms.
         answered: Option<u64>,
     },
 }
 
 impl Stage {
-    /// Name in logs.
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Storing { .. } => "storing",
@@ -61,33 +62,33 @@
     }
 }
 
-/// Why a run is stopped.
+/// Reason for which a run is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopWhy {
+pub enum StopReason {
     /// Its job has ended or was cancelled.
     JobEnded,
-    /// Its gang cannot go on.
+    /// Its gang cannot continue: a member is lost, was stopped or did not start.
     GangBroken,
     /// It makes no progress.
-    Hangs,
-    /// Its start was not answered: it must not happen any more.
+    NoProgress,
+    /// Its start was not answered, and must have no effect any more.
     NoAnswer,
-    /// It makes room for a gang.
-    MakesRoom,
+    /// It is preempted by a gang.
+    Preempted,
     /// An earlier stop was not answered.
-    Again,
+    Repeated,
 }
 
-impl StopWhy {
-    /// Name in logs.
+impl StopReason {
+    /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::JobEnded => "job ended",
             Self::GangBroken => "gang broken",
-            Self::Hangs => "no progress",
+            Self::NoProgress => "no progress",
             Self::NoAnswer => "start not answered",
-            Self::MakesRoom => "makes room for a gang",
-            Self::Again => "earlier stop not answered",
+            Self::Preempted => "makes room for a gang",
+            Self::Repeated => "earlier stop not answered",
         }
     }
 }
@@ -95,27 +96,27 @@
 /// A run of a task on a runner.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Where.
+    /// The runner.
     pub runner: RunnerKey,
-    /// How far.
+    /// Its state.
     pub stage: Stage,
-    /// Starts sent.
+    /// Number of starts sent.
     pub tries: u32,
-    /// A start had no answer: it may come into effect later.
-    pub unsure: bool,
-    /// How far it is known to have come.
+    /// A start was not answered: its outcome is unknown, and it may take effect later.
+    pub outcome_unknown: bool,
+    /// Progress as reported by the runner.
     pub progress: Progress,
     /// When a stop was last sent, local ms.
     pub stop_at: u64,
-    /// Ticket for the start.
+    /// Ticket that the start carries.
     pub ticket: Option<String>,
 }
 
 impl Run {
-    /// A run on `runner`.
+    /// A run on `runner` of which no start has been sent by this leader.
     pub fn new(runner: RunnerKey, stage: Stage) -> Self {
         let progress = Progress::default();
-        Self { runner, stage, tries: 0, unsure: false, progress, stop_at: 0, ticket: None }
+        Self { runner, stage, tries: 0, outcome_unknown: false, progress, stop_at: 0, ticket: None }
     }
 }
 
@@ -129,7 +130,7 @@
         let tickets = &step.approvals.tickets;
         let Some(task) = step.tasks.get_mut(id.index as usize) else { return };
         let Some(run) = task.run.as_mut() else { return };
-        // One given since the placement was decided is good for longer.
+        // A ticket that was issued after the placement was decided is valid for longer.
         run.ticket = tickets.get(&run.runner).map(|(t, _)| t.clone()).or(run.ticket.take());
         let runner = self.runners.get_mut(run.runner);
         let (Some(to), Some(until)) = (runner.call(), runner.extend(hold, now)) else { return };
@@ -150,8 +151,8 @@
         self.acts.push(Action::Start { runner: run.runner, to, start, after_ms });
     }
 
-    /// Orders a stop of a task's run.
-    pub(super) fn order_stop(&mut self, id: TaskId, why: StopWhy, now: Now) {
+    /// Orders the stop of a task's run, unless a stop was already acknowledged.
+    pub(super) fn order_stop(&mut self, id: TaskId, why: StopReason, now: Now) {
         let fence = self.fence;
         let Some(task) = self.task_mut(id) else { return };
         let attempt = task.attempt;
@@ -169,8 +170,8 @@
         self.acts.push(Action::Stop { runner: k, to, order });
     }
 
-    /// Stops whatever runs of a step. What was not sent yet is taken back at once.
-    pub(super) fn stop_step(&mut self, step: StepId, why: StopWhy, now: Now) {
+    /// Stops all runs of a step. Runs whose start was not sent yet are released at once.
+    pub(super) fn stop_step(&mut self, step: StepId, why: StopReason, now: Now) {
         let Some(s) = self.step(step) else { return };
         let ids: Vec<TaskId> = s.ids().collect();
         for id in ids {
@@ -183,28 +184,30 @@
         }
     }
 
-    /// A run is over or never was: its room is free and the task waits, unless it is done.
+    /// Removes a run that is over or never started. Its capacity becomes free and its task waits
+    /// again, unless it is done.
     pub(super) fn release(&mut self, id: TaskId, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
         let attempt = task.attempt;
         let Some(run) = task.run.take() else { return };
-        self.runners.get_mut(run.runner).vacate(id, attempt);
-        self.touch(id.step.job);
+        self.runners.get_mut(run.runner).deallocate(id, attempt);
+        self.mark_changed(id.step.job);
         self.open_steps_of(id.step.job, now);
     }
 
-    /// A run never took place although its start was ordered. Members of a gang that did start
-    /// are stopped at once: they would wait in vain for this one.
-    fn never_ran(&mut self, id: TaskId, now: Now) {
+    /// Handles a run whose ordered start had no effect. Members of a gang that did start are
+    /// stopped at once, since they would wait for this one forever.
+    fn release_unstarted(&mut self, id: TaskId, now: Now) {
         self.release(id, now);
         let gang = self.jobs.get(&id.step.job).is_some_and(|j| j.spec(id.step).gang);
         if gang {
-            self.stop_step(id.step, StopWhy::GangBroken, now);
+            self.stop_step(id.step, StopReason::GangBroken, now);
         }
-        self.settle(id.step.job, now);
+        self.update_state(id.step.job, now);
     }
 
-    /// The answer to a start.
+    /// Handles the result of a start: the time of the runner's clock, ms, or the reason why it was
+    /// not carried out.
     pub fn started(
         &mut self,
         k: RunnerKey,
@@ -214,61 +217,61 @@
         now: Now,
     ) {
         if res == Err(Refusal::Fenced) {
-            self.fenced_off(k);
+            self.record_fenced(k);
         }
         match res {
-            Ok(clock) => self.runners.get_mut(k).heard(clock, now),
-            Err(Refusal::NoAnswer) => self.runners.get_mut(k).unheard(now),
+            Ok(clock) => self.runners.get_mut(k).record_answer(clock, now),
+            Err(Refusal::NoAnswer) => self.runners.get_mut(k).record_no_answer(now),
             Err(_) => {}
         }
         let Some(run) = self.run_mut(k, id, attempt) else { return };
         if run.stage != Stage::Sent {
-            run.unsure |= res == Err(Refusal::NoAnswer);
+            run.outcome_unknown |= res == Err(Refusal::NoAnswer);
             return;
         }
         match res {
             Ok(clock) => {
                 run.stage = Stage::Running { clock };
                 run.progress.begin(now.mono);
-                self.begin(id.step.job, id.step.occurrence, now);
+                self.mark_running(id.step.job, id.step.occurrence, now);
             }
-            Err(why) => self.not_started(k, id, why, now),
+            Err(why) => self.start_refused(k, id, why, now),
         }
     }
 
-    fn not_started(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
+    fn start_refused(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
         self.counts.refused += 1;
         let name = self.runners.get(k).id.clone();
         log::warn!(task:% = id, runner = name, why:% = why; "start not carried out");
         let Some(task) = self.task_mut(id) else { return };
         let Some(run) = task.run.as_mut() else { return };
-        run.unsure |= why == Refusal::NoAnswer;
-        let (unsure, tries) = (run.unsure, run.tries);
+        run.outcome_unknown |= why == Refusal::NoAnswer;
+        let (outcome_unknown, tries) = (run.outcome_unknown, run.tries);
         match why {
             Refusal::Fenced => {}
             Refusal::OtherLife => {
-                if !unsure {
-                    self.never_ran(id, now);
+                if !outcome_unknown {
+                    self.release_unstarted(id, now);
                 }
-                self.runner_over(k, now);
+                self.runner_replaced(k, now);
             }
-            Refusal::NoAnswer | Refusal::Unreachable if tries < START_TRIES => {
-                self.order_start(id, now, RETRY_START_MS);
+            Refusal::NoAnswer | Refusal::Unreachable if tries < MAX_START_TRIES => {
+                self.order_start(id, now, START_RETRY_MS);
             }
             Refusal::Superseded => run.stage = Stage::Running { clock: 0 },
-            Refusal::NoAnswer => self.order_stop(id, StopWhy::NoAnswer, now),
+            Refusal::NoAnswer => self.order_stop(id, StopReason::NoAnswer, now),
             _ => {
-                self.blame(k, id, why, now);
-                match unsure {
-                    true => self.order_stop(id, StopWhy::NoAnswer, now),
-                    false => self.never_ran(id, now),
+                self.record_refusal(k, id, why, now);
+                match outcome_unknown {
+                    true => self.order_stop(id, StopReason::NoAnswer, now),
+                    false => self.release_unstarted(id, now),
                 }
             }
         }
     }
 
-    /// Takes a refusal into account in where tasks go next.
-    fn blame(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
+    /// Records a refusal that affects further placements.
+    fn record_refusal(&mut self, k: RunnerKey, id: TaskId, why: Refusal, now: Now) {
         let runner = self.runners.get_mut(k);
         match why {
             Refusal::Unhealthy | Refusal::Unreachable | Refusal::NoRoom => {
@@ -283,7 +286,8 @@
         }
     }
 
-    /// The answer to a stop.
+    /// Handles the result of a stop: the time of the runner's clock, ms, or the reason why it was
+    /// not carried out.
     pub fn stopped(
         &mut self,
         k: RunnerKey,
@@ -293,21 +297,22 @@
         now: Now,
     ) {
         match res {
-            Err(Refusal::Fenced) => self.fenced_off(k),
-            Err(Refusal::OtherLife) => self.runner_over(k, now),
+            Err(Refusal::Fenced) => self.record_fenced(k),
+            Err(Refusal::OtherLife) => self.runner_replaced(k, now),
             Ok(clock) => {
                 if let Some(run) = self.run_mut(k, id, attempt) {
                     run.stage = Stage::Stopping { answered: Some(clock) };
                 }
-                // The end shows in the lists within the runner's time to stop: look soon.
-                self.runners.get_mut(k).hold_at = now.mono;
+                // The completion is reported within the time that the runner takes to stop: poll at
+                // once.
+                self.runners.get_mut(k).next_poll = now.mono;
             }
             Err(_) => {}
         }
     }
 
-    /// A runner has seen a higher fencing token than this term's.
-    pub(super) fn fenced_off(&mut self, k: RunnerKey) {
+    /// Records that a runner has seen a higher fencing token than this term's: the term is over.
+    pub(super) fn record_fenced(&mut self, k: RunnerKey) {
         if !self.deposed {
             log::warn!(runner = self.runners.get(k).id, fence = self.fence;
                 "a runner has seen a higher fencing token: this term is over");
@@ -315,7 +320,7 @@
         self.deposed = true;
     }
 
-    /// Repeats stops that had no answer, in the order of runners.
+    /// Repeats unanswered stops that are due, ordered by runner.
     pub(super) fn repeat_stops(&mut self, now: Now) {
         let mut due = Vec::new();
         for id in std::mem::take(&mut self.stopping) {
@@ -323,15 +328,15 @@
             if run.stage != (Stage::Stopping { answered: None }) {
                 continue;
             }
-            let late = run.stop_at + RETRY_STOP_MS <= now.mono;
-            if late && self.runners.get(run.runner).reached(now) {
+            let late = run.stop_at + STOP_RETRY_MS <= now.mono;
+            if late && self.runners.get(run.runner).reachable(now) {
                 due.push((run.runner, id));
             }
             self.stopping.insert(id);
         }
         due.sort_unstable();
         for (_, id) in due {
-            self.order_stop(id, StopWhy::Again, now);
+            self.order_stop(id, StopReason::Repeated, now);
         }
     }
 
@@ -339,22 +344,24 @@
         self.task(id)?.run.as_ref()
     }
 
-    /// Whether the ticket with which a task would start has run out. What approves no runners has none.
-    fn ticket_over(&self, id: TaskId, now: Now) -> bool {
+    /// Whether the ticket for a task's start has expired. A queue without approval has no tickets.
+    fn ticket_expired(&self, id: TaskId, now: Now) -> bool {
         let Some(run) = self.run_of(id) else { return false };
         let ticket = self.step(id.step).and_then(|s| s.approvals.tickets.get(&run.runner));
-        ticket.is_some_and(|(_, end)| *end <= now.mono + TICKET_WAY_MS)
+        ticket.is_some_and(|(_, end)| *end <= now.mono + TICKET_START_MARGIN_MS)
     }
 
-    /// Whether a task's runner has shrunk below what is taken there since the task was placed.
-    fn room_gone(&self, id: TaskId) -> bool {
+    /// Whether the capacity of a task's runner has fallen below what is allocated there since the
+    /// task was placed.
+    fn capacity_shrunk(&self, id: TaskId) -> bool {
         let Some(run) = self.run_of(id) else { return false };
         let runner = self.runners.get(run.runner);
         !runner.used.fits(&runner.room())
     }
 
-    /// A placement has been stored: its start may go out. While the store was slow or away its ticket may
-    /// have run out, or its runner shrunk: it is given up then, a gang's for all members.
+    /// Orders the starts of a step whose placements are stored up to revision `stored`. While the
+    /// store was slow or unavailable, a ticket may have expired or a runner's capacity may have
+    /// shrunk. Such a placement is released, and for a gang the placements of all its members.
     pub(super) fn start_stored(&mut self, step: StepId, stored: u64, now: Now) {
         let Some(s) = self.step(step) else { return };
         let due: Vec<TaskId> = s
@@ -367,20 +374,21 @@
             .map(|(id, _)| id)
             .collect();
         let gang = self.jobs.get(&step.job).is_some_and(|j| j.spec(step).gang);
-        let (mut over, mut good): (Vec<_>, Vec<_>) =
-            due.into_iter().partition(|id| self.ticket_over(*id, now) || self.room_gone(*id));
-        if gang && !over.is_empty() {
-            over.append(&mut good);
+        let (mut expired, mut valid): (Vec<_>, Vec<_>) = due
+            .into_iter()
+            .partition(|id| self.ticket_expired(*id, now) || self.capacity_shrunk(*id));
+        if gang && !expired.is_empty() {
+            expired.append(&mut valid);
         }
-        if !over.is_empty() {
-            let shrunk = over.iter().filter(|id| self.room_gone(**id)).count();
-            log::info!(step:% = step, tasks = over.len(), shrunk;
+        if !expired.is_empty() {
+            let shrunk = expired.iter().filter(|id| self.capacity_shrunk(**id)).count();
+            log::info!(step:% = step, tasks = expired.len(), shrunk;
                 "ticket or room gone before the start");
         }
-        for id in over {
+        for id in expired {
             self.release(id, now);
         }
-        for id in good {
+        for id in valid {
             self.order_start(id, now, 0);
         }
     }
--- a/tests/common/control/store.rs
+++ b/tests/common/control/store.rs
@@ -1,6 +1,6 @@
 //! The store of progress rows.
 
-use super::calls::{TIMEOUT_MS, WAY_MS};
+use super::calls::{ONE_WAY_MS, TIMEOUT_MS};
 use super::{Cell, Event};
 use currantgw::control::engine::{Batch, Engine, Outcome};
 use currantgw::control::model::{JobId, JobState};
@@ -9,11 +9,11 @@
 use currantgw::control::rows::{self, ProgressRow};
 use rand::Rng;
 
-/// Most writes of one transaction.
+/// Maximum number of writes in one transaction.
 const BATCH: usize = 46;
 
 impl Cell {
-    /// Sends what the scheduler wants stored.
+    /// Sends the writes that the scheduler has queued.
     pub(super) fn commit(&mut self) {
         let wants = |engine: &Engine, p: Part| engine.wants_commit(p);
         while let Some(scope) = self.duty.next(|p| wants(&self.engine, p), self.now) {
@@ -24,7 +24,7 @@
     }
 
     fn send_batch(&mut self, scope: Scope, batch: Batch) {
-        let term = self.office;
+        let term = self.term;
         let away = self.away.is_some_and(|p| scope == Scope::All || scope == Scope::One(p));
         if self.faults.store_down || away {
             return self.at(TIMEOUT_MS, Event::Committed(scope, batch, Outcome::Unknown));
@@ -42,7 +42,7 @@
 
     /// Time until a transaction sent now is carried out, and from then until its answer, ms.
     fn store_time(&mut self, scope: Scope) -> (u64, u64) {
-        let Some(times) = self.times else { return (WAY_MS, WAY_MS) };
+        let Some(times) = self.times else { return (ONE_WAY_MS, ONE_WAY_MS) };
         let half = times.way / 2;
         let (parts, takes): (Vec<Part>, u64) = match scope {
             Scope::All => (Part::all().collect(), 2 * times.txn),
@@ -54,17 +54,17 @@
         (done - self.now, half)
     }
 
-    /// The answer to a commit.
+    /// Handles the answer to a commit.
     pub(super) fn answered(&mut self, scope: Scope, batch: &Batch, out: &Outcome) {
         let stored = matches!(out, Outcome::Done(_));
         self.duty.committed(scope, stored, batch.at, self.now);
         self.engine.committed(batch, out, self.clocks());
     }
 
-    /// A commit reaches the store: all of it is written, or nothing.
+    /// Applies a commit: all of its writes, or none.
     pub(super) fn apply(&mut self, term: u64, batch: &Batch) -> Outcome {
         let stands = |id: &JobId| self.store.get(id).map_or(0, |(v, _)| *v);
-        if term != self.office || batch.writes.iter().any(|w| stands(&w.job) != w.version) {
+        if term != self.term || batch.writes.iter().any(|w| stands(&w.job) != w.version) {
             let found = batch.writes.iter().filter_map(|w| {
                 let (version, value) = self.store.get(&w.job)?.clone();
                 let key = rows::progress_key(w.job);
--- a/tests/common/control/work.rs
+++ b/tests/common/control/work.rs
@@ -1,30 +1,30 @@
-//! Runners at work: tasks advance and end, gangs break, runners crash.
+//! Execution of tasks by the runners: tasks advance and end, gangs break, runners crash.
 
 use super::super::runner::Running;
 use super::{Cell, STEP_MS};
 use currantgw::control::model::{Attempt, EndKind, JobId, StepId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member of a gang waits this long for the others, ms.
-const GANG_WAIT_MS: u64 = 3_000;
+/// Time that a member of a gang waits for the others, ms.
+const MEMBER_WAIT_MS: u64 = 3_000;
 
-/// A gang that runs.
+/// State of a running gang.
 struct Gang {
     present: u32,
-    through: bool,
+    all_done: bool,
 }
 
-/// How a run ends now whose lease goes on, if it does: `whole` if its gang is all there,
-/// `through` if all of it has done its work.
-fn end_of(x: &Running, whole: bool, through: bool, now: u64) -> Option<EndKind> {
+/// Completion of a run at `now`, if it ends, on a runner whose lease has not expired: `complete` if
+/// all members of its gang run, `all_done` if all of them have done their work.
+fn end_of(x: &Running, complete: bool, all_done: bool, now: u64) -> Option<EndKind> {
     let worked = x.worked >= x.work && x.stopping.is_none();
     if x.stopping.is_some_and(|at| at <= now) {
         Some(EndKind::Stopped)
     } else if worked && x.fails {
         Some(EndKind::Failed)
-    } else if worked && through {
+    } else if worked && all_done {
         Some(EndKind::Done)
-    } else if !whole && x.worked == 0 && x.began + GANG_WAIT_MS <= now {
+    } else if !complete && x.worked == 0 && x.began + MEMBER_WAIT_MS <= now {
         Some(EndKind::Alone)
     } else {
         None
@@ -32,8 +32,9 @@
 }
 
 impl Cell {
-    /// Runners work: tasks end, leases lapse. Members of a gang work while all are there, and end
-    /// done together once the slowest is through; where one is gone the others break.
+    /// Advances all tasks: tasks end, leases expire. Members of a gang work while all of them run,
+    /// and complete together once the slowest has done its work; if one ends otherwise, the others
+    /// break.
     pub(super) fn work(&mut self) {
         let now = self.now;
         let gangs = self.gangs();
@@ -49,13 +50,13 @@
                 let Some(x) = r.running.get_mut(&task) else { continue };
                 let key = (task.step, x.attempt);
                 let gang = gangs.get(&key);
-                let whole = x.gang.is_none_or(|n| gang.is_some_and(|g| g.present == n));
-                let through = x.gang.is_none() || gang.is_some_and(|g| g.through);
-                if whole && !hangs && x.stopping.is_none() {
+                let complete = x.gang.is_none_or(|n| gang.is_some_and(|g| g.present == n));
+                let all_done = x.gang.is_none() || gang.is_some_and(|g| g.all_done);
+                if complete && !hangs && x.stopping.is_none() {
                     x.worked = (x.worked + STEP_MS).min(x.work);
                 }
                 let end =
-                    if lapsed { Some(EndKind::Lapsed) } else { end_of(x, whole, through, now) };
+                    if lapsed { Some(EndKind::Lapsed) } else { end_of(x, complete, all_done, now) };
                 let Some(kind) = end else { continue };
                 if x.gang.is_some() && kind != EndKind::Done {
                     broken.insert(key);
@@ -66,15 +67,15 @@
         self.break_gangs(&broken);
     }
 
-    /// Members present of each gang that runs, and whether all are through with their work.
+    /// Number of running members of each gang, and whether all of them have done their work.
     fn gangs(&self) -> BTreeMap<(StepId, Attempt), Gang> {
         let mut out: BTreeMap<(StepId, Attempt), Gang> = BTreeMap::new();
         let up = self.runners.iter().filter(|r| r.up);
         for (task, x) in up.flat_map(|r| &r.running).filter(|(_, x)| x.gang.is_some()) {
             let gang =
-                out.entry((task.step, x.attempt)).or_insert(Gang { present: 0, through: true });
+                out.entry((task.step, x.attempt)).or_insert(Gang { present: 0, all_done: true });
             gang.present += 1;
-            gang.through &= x.worked >= x.work;
+            gang.all_done &= x.worked >= x.work;
         }
         out
     }
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A runner crashes: what ran there is gone and nobody answers.
+    /// Crashes a runner: its runs are gone, and calls to it are not answered.
     pub fn crash(&mut self, i: usize) {
         let of = |(task, x): (&TaskId, &Running)| x.gang.map(|_| (task.step, x.attempt));
         let broken = self.runners[i].running.iter().filter_map(of).collect();
@@ -99,8 +100,8 @@
         self.break_gangs(&broken);
     }
 
-    /// Ends what is left of a gang of which a member has ended.
-    pub fn break_off(&mut self, job: JobId, step: u32) {
+    /// Ends the remaining members of a gang of which a member has ended.
+    pub fn break_gang(&mut self, job: JobId, step: u32) {
         let id = StepId { job, occurrence: 0, step };
         let running = self.runners.iter().flat_map(|r| &r.running);
         let of = |(task, x): (&TaskId, &Running)| (task.step == id).then_some((id, x.attempt));
--- a/tests/control_engine.rs
+++ b/tests/control_engine.rs
@@ -1,5 +1,5 @@
-//! The scheduler's engine under failures, without a network: takeovers, orders that are carried
-//! out late, commits without an answer, runners that are cut off, crash, hang or fail.
+//! The scheduler's engine under failures, without a network: leader changes, orders that take
+//! effect late, commits without an answer, and runners that are unreachable, crash, stall or fail.
 
 mod common {
     pub mod control;
@@ -7,7 +7,7 @@
 }
 
 use common::control::{queue, step, Cell, Faults, RULES, STEP_MS};
-use currantgw::control::engine::MOST_LOOKS;
+use currantgw::control::engine::MAX_CHECKS_PER_ROUND;
 use currantgw::control::model::{Approval, EndKind, JobId, JobState, Step, StepId, TaskId};
 use currantgw::kernel::res::Resources;
 use rand::rngs::StdRng;
@@ -34,12 +34,11 @@
     cell.check();
 }
 
-/// Symptom: after a takeover runners are oversold and tasks that run start again.
-/// Sequence: a successor's first look learns a runner's clock and extends no lease; the end of
-/// the lease is then 0 on that clock, which has long passed.
-/// Cause: "no lease given by this term" was taken for "every lease is over".
+/// Guards against overcommitted runners and tasks started twice after a leader change. The first
+/// poll of a new leader reads a runner's clock and extends no lease, so that the end of the lease
+/// is 0 on that clock: "no lease sent by this term" must not count as "all leases expired".
 #[test]
-fn a_takeover_writes_off_nothing_that_runs() {
+fn a_leader_change_marks_no_running_task_as_lost() {
     let mut cell = Cell::new(2, 2);
     let job = cell.submit(1, "patient", vec![step(20, 1_500, 3_000)]);
     cell.run(500);
@@ -52,10 +51,10 @@
     cell.check();
 }
 
-/// Symptom: a task runs in two places. Sequence: a runner is cut off from the scheduler and goes
-/// on working; its task must not start elsewhere before its lease is over on its own clock.
+/// Guards against a task that runs twice. An unreachable runner goes on working: its task must not
+/// start elsewhere before the runner's lease has expired on its own clock.
 #[test]
-fn a_cut_off_runner_keeps_its_tasks_until_its_lease_is_over() {
+fn an_unreachable_runner_keeps_its_tasks_until_its_lease_expires() {
     let mut cell = Cell::new(2, 3);
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 60_000)]);
     cell.run(300);
@@ -68,9 +67,9 @@
     cell.check();
 }
 
-/// Symptom: a queue is said to have no job waiting while six have waited for 5 s. Sequence: a
-/// runner is cut off, jobs are placed there, their starts get no answer. Cause: a job counted as
-/// running from its placement on, though nothing of it had started.
+/// Guards against a queue that is reported without waiting jobs while six have waited for 5 s. Jobs
+/// are placed on a runner that has just become unreachable, and their starts are not answered. A
+/// job must not count as running from its placement on, before anything of it has started.
 #[test]
 fn a_job_whose_start_was_not_answered_still_counts_as_waiting() {
     let mut cell = Cell::new(1, 31);
@@ -85,11 +84,12 @@
     cell.check();
 }
 
-/// Symptom: for most of two seconds after a cut lookups go to the runners behind it and are tied up
-/// there until the lease is over. Sequence: a start has no answer for 0.6 s; the look that was
-/// under way fails after 1.4 s. Cause: only looks counted as signs that a runner is out of reach.
+/// Guards against lookups placed on unreachable runners for most of two seconds after the
+/// connection breaks, where they are blocked until the lease expires. A start has no answer after
+/// 0.6 s, while the pending poll fails only after 1.4 s: an unanswered start must count against the
+/// runner as well.
 #[test]
-fn a_start_without_an_answer_keeps_others_away() {
+fn an_unanswered_start_keeps_other_tasks_off_the_runner() {
     let mut cell = Cell::new(2, 32);
     cell.run(300);
     cell.runners[0].cut_until = cell.now + 30_000;
@@ -99,14 +99,14 @@
     }
     cell.run(1_000);
     let stuck = (0..40).filter(|n| cell.stored(JobId(n + 1)) != JobState::Completed).count();
-    assert!(stuck <= 13, "{stuck} of 40 are tied up");
+    assert!(stuck <= 13, "{stuck} of 40 are blocked");
     cell.check();
 }
 
-/// As above, across a takeover: the successor has never reached the runner, and a predecessor
-/// that could may have extended its lease until it had to yield.
+/// As above, across a leader change: the new leader has never reached the runner, and a predecessor
+/// that could may have extended its lease until it had to step down.
 #[test]
-fn a_successor_waits_for_leases_of_runners_that_it_cannot_reach() {
+fn a_new_leader_waits_for_leases_of_unreachable_runners() {
     let mut cell = Cell::new(2, 4);
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 60_000)]);
     cell.run(300);
@@ -120,10 +120,10 @@
     cell.check();
 }
 
-/// A crashed runner comes back as another life at the same address: what ran there is over, and
-/// starts elsewhere at once instead of after the lease.
+/// A crashed runner comes back as another incarnation at the same address: its runs are lost, and
+/// start elsewhere at once instead of after the lease.
 #[test]
-fn another_life_of_a_runner_frees_its_tasks_at_once() {
+fn a_new_incarnation_of_a_runner_frees_its_tasks_at_once() {
     let mut cell = Cell::new(2, 5);
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 60_000)]);
     cell.run(300);
@@ -135,10 +135,10 @@
     cell.check();
 }
 
-/// Symptom: a runner is oversold. Sequence: a start gets no answer, the task goes elsewhere, its
-/// room is given to others, and the start is carried out seconds later.
+/// Guards against an overcommitted runner. A start gets no answer, the task goes elsewhere, its
+/// capacity is allocated to others, and the start takes effect seconds later.
 #[test]
-fn an_unanswered_start_holds_its_room_until_it_can_no_longer_happen() {
+fn an_unanswered_start_keeps_its_capacity_until_it_cannot_take_effect() {
     for seed in 0..20 {
         let mut cell = Cell::new(3, seed);
         cell.faults = Faults { late: 0.2, ..Faults::default() };
@@ -155,11 +155,11 @@
     }
 }
 
-/// Symptom: a task runs in two places. Sequence: a start gets no answer, its repetition is
-/// refused for its ticket, the task goes elsewhere, and the first order is carried out seconds
-/// later. A refusal says nothing of copies still under way.
+/// Guards against a task that runs twice. A start gets no answer, its repetition is refused for its
+/// ticket, the task goes elsewhere, and the first order takes effect seconds later. A refusal of
+/// one order says nothing about earlier ones that are still on the way.
 #[test]
-fn a_refusal_after_an_unanswered_start_frees_nothing() {
+fn a_refusal_after_an_unanswered_start_frees_no_capacity() {
     for seed in 0..40 {
         let mut cell = Cell::new(3, seed);
         cell.faults = Faults { late: 0.4, ..Faults::default() };
@@ -174,8 +174,8 @@
     }
 }
 
-/// Symptom: a task starts again after it was done. Sequence: a commit gets no answer and is
-/// applied seconds later, over a newer row. Cause it guards against: rows written unconditionally.
+/// Guards against a task that starts again after it was done. A commit gets no answer and is
+/// applied seconds later: an unconditional write would overwrite a newer row.
 #[test]
 fn commits_without_an_answer_never_undo_newer_ones() {
     for seed in 0..20 {
@@ -197,7 +197,8 @@
     }
 }
 
-/// Nothing is started that is not stored, and work under way goes on while the store is down.
+/// Nothing is started whose placement is not stored, and running tasks go on while the store is
+/// down.
 #[test]
 fn while_the_store_is_down_tasks_run_on_and_none_starts() {
     let mut cell = Cell::new(2, 6);
@@ -229,7 +230,7 @@
 
 /// A job whose tasks always fail ends as failed after the queue's limit, and not before.
 #[test]
-fn a_hopeless_job_fails_after_its_limit() {
+fn a_job_whose_tasks_always_fail_ends_at_its_limit() {
     let mut cell = Cell::new(4, 8);
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 100)]);
     cell.poison(job);
@@ -239,10 +240,10 @@
     cell.check();
 }
 
-/// A runner that fails all it starts is passed over after few failures, so that urgent jobs,
-/// which have two attempts, do not fail there.
+/// A runner that fails every task is avoided after few failures, so that urgent jobs, which have
+/// two attempts, do not fail there.
 #[test]
-fn a_runner_that_fails_everything_is_passed_over() {
+fn a_runner_that_fails_every_task_is_avoided() {
     let mut cell = Cell::new(6, 9);
     cell.runners[0].fails = true;
     for n in 0..100 {
@@ -252,14 +253,15 @@
     cell.run(3_000);
     let failed = (0..100).filter(|n| cell.stored(JobId(n + 1)) == JobState::Failed).count();
     assert_eq!(failed, 0);
-    // Of 200 tasks a sixth would have gone there.
+    // Without it, a sixth of the 200 tasks would start there.
     assert!(cell.runners[0].started <= 16, "{} starts there", cell.runners[0].started);
     cell.check();
 }
 
-/// Tasks that make no progress are stopped and started elsewhere; a stop is no failure.
+/// Tasks that make no progress are stopped and started elsewhere; a stop does not count as a
+/// failure.
 #[test]
-fn a_task_that_stands_still_is_moved() {
+fn a_stalled_task_is_moved() {
     let mut cell = Cell::new(2, 10);
     let job = cell.submit(1, "urgent", vec![step(1, 1_000, 500)]);
     cell.run(100);
@@ -270,13 +272,12 @@
     cell.check();
 }
 
-/// A gang starts whole: all members on one attempt number, or none.
-/// Symptom: gangs are stopped for want of progress shortly before they end, start again after tens
-/// of seconds and are stopped again. Sequence: the members of a gang have unlike amounts of work;
-/// those through with theirs stay at 100 percent until the slowest is through. Cause: a member that
-/// had done all its work counted as standing still.
+/// A gang starts as a whole, with one attempt number for all members. Guards against gangs that are
+/// stopped as stalled shortly before they end, and again after each restart tens of seconds later.
+/// The members have unequal amounts of work, and those that have done theirs stay at 100 percent
+/// until the slowest has: they must not count as stalled.
 #[test]
-fn members_that_wait_for_the_slowest_of_their_gang_are_left_alone() {
+fn members_that_wait_for_the_slowest_of_their_gang_are_not_stopped() {
     let mut cell = Cell::new(6, 21);
     cell.uneven = 40;
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 8_000) }]);
@@ -286,11 +287,11 @@
     cell.check();
 }
 
-/// Symptom: a gang is stopped while it waits for a member. Sequence: the start of one member has no
-/// answer and is repeated; the others are there and cannot work yet. Cause: their time without
-/// progress was counted from their own start, not from when the gang was whole.
+/// Guards against a gang that is stopped as stalled while it waits for a member. The start of one
+/// member has no answer and is repeated; the others run and cannot work yet. Their time without
+/// progress must count from when all members run, not from their own start.
 #[test]
-fn members_that_wait_for_one_to_arrive_are_left_alone() {
+fn members_that_wait_for_one_to_start_are_not_stopped() {
     let mut cell = Cell::new(6, 5);
     let slow = 3;
     cell.run(500);
@@ -302,11 +303,11 @@
     cell.check();
 }
 
-/// Symptom: a gang with a member on a runner where nothing moves stays there for good. Sequence: all
-/// members are there, one stands still at once, the others are through and wait for it. The one
-/// that stands still has to be noticed, and the gang to start again without that runner.
+/// Guards against a gang that stays on a stalled runner permanently. All members run, one of them
+/// makes no progress from the start, and the others have done their work and wait for it. The
+/// stalled member has to be detected, and the gang has to start again without that runner.
 #[test]
-fn a_member_that_stands_still_moves_its_gang() {
+fn a_stalled_member_moves_its_gang() {
     let mut cell = Cell::new(7, 8);
     cell.runners[2].hangs = true;
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 1_500) }]);
@@ -316,10 +317,9 @@
     cell.check();
 }
 
-/// Symptom: a gang starts again 9 s after it broke, past its objective, though there is room. Sequence:
-/// a member's runner leaves; the other members end as broken within 0.2 s. Cause: the member that was
-/// not heard of was waited for until its lease was over, though the ends of the others say that it
-/// has ended.
+/// Guards against a gang that starts again only 9 s after it broke, past its objective, although
+/// there is capacity. A member's runner leaves, and the other members end as broken within 0.2 s,
+/// which shows that the missing member has ended: the gang must not wait until its lease expires.
 #[test]
 fn a_gang_starts_again_as_soon_as_its_runner_is_known_to_be_gone() {
     let mut cell = Cell::new(8, 12);
@@ -332,23 +332,23 @@
     cell.check();
 }
 
-/// Symptom: a task fails once more than its queue allows. Sequence: a gang whose queue allows two
-/// failures has failed once; in its second run a member fails on a runner that is then cut off,
-/// and the others end as broken. Cause: the gang started a third time before the failure was seen.
-/// It must wait for the runner, or for the end of its lease.
+/// Guards against a task that fails once more than its queue allows. A gang whose queue allows two
+/// failures has failed once; in its second run a member fails on a runner that then becomes
+/// unreachable, and the others end as broken. The gang must not start a third time before the
+/// failure is reported: it waits for the runner, or for the end of its lease.
 #[test]
-fn a_gang_with_one_failure_left_waits_for_the_member_that_is_not_seen() {
+fn a_gang_with_one_failure_left_waits_for_a_missing_completion() {
     let mut cell = Cell::new(8, 12);
     let job = cell.submit(1, "urgent", vec![Step { gang: true, ..step(6, 9_000, 4_000) }]);
     cell.run(1_000);
     let first = cell.whereabouts(task(job, 0))[0];
     cell.runners[first].end(task(job, 0), EndKind::Failed);
-    cell.break_off(job, 0);
+    cell.break_gang(job, 0);
     cell.run(1_000);
     let second = cell.whereabouts(task(job, 1))[0];
     cell.runners[second].end(task(job, 1), EndKind::Failed);
     cell.runners[second].cut_until = cell.now + 4_000;
-    cell.break_off(job, 0);
+    cell.break_gang(job, 0);
     cell.run(3_500);
     assert_eq!(cell.running(), 0, "a third run");
     cell.run(3_000);
@@ -356,11 +356,11 @@
     cell.check();
 }
 
-/// Symptom: a gang whose queue allows three failures runs a fourth time after three. Sequence: each
-/// run fails on a runner that is cut off before the end is seen. Cause: ends that were not seen
-/// counted one at a time, so that two of them looked like none.
+/// Guards against a gang whose queue allows three failures and that runs a fourth time. Each run
+/// fails on a runner that becomes unreachable before the completion is reported. Missing
+/// completions must be counted together, not one at a time.
 #[test]
-fn failures_that_were_not_seen_count_against_the_limit_together() {
+fn missing_completions_count_against_the_limit_together() {
     let mut cell = Cell::new(10, 12);
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 30_000) }]);
     let mut runs = 0;
@@ -371,7 +371,7 @@
         assert!(runs <= 3, "a run after three failures");
         cell.runners[i].end(task(job, 0), EndKind::Failed);
         cell.runners[i].cut_until = cell.now + 7_000;
-        cell.break_off(job, 0);
+        cell.break_gang(job, 0);
     }
     assert_eq!(runs, 3);
     cell.run(9_000);
@@ -379,18 +379,17 @@
     cell.check();
 }
 
-/// Time in which a job of one step of `estimate` ms is expected to run, ms.
+/// Expected run time of a job with one step of `estimate` ms, ms.
 fn expected(cell: &mut Cell, id: u64, estimate: u64) -> u64 {
     let job = cell.submit(id, "patient", vec![step(1, 1_000, estimate)]);
     cell.engine.job(job).map_or(0, |j| j.longest)
 }
 
-/// Symptom: after one wide gang that took four times its estimate, all jobs of its queue are
-/// expected to take more than twice theirs, though all others took what they claimed. Sequence:
-/// seven single tasks end on time, then a gang of eight late. Cause: each member's end counted as a
-/// step for the learned times, so that the gang weighed more than all the others together.
+/// Guards against a wide gang that weighs as much as one step for each member in the run-time
+/// model. Seven single tasks end on time, then a gang of eight takes four times its estimate:
+/// afterwards all jobs of the queue were expected to take more than twice their estimates.
 #[test]
-fn a_wide_gang_counts_as_one_step_for_learned_times() {
+fn a_wide_gang_counts_as_one_step_in_the_run_time_model() {
     let mut cell = Cell::new(8, 41);
     for n in 1..=7 {
         cell.submit(n, "patient", vec![step(1, 1_000, 2_000)]);
@@ -400,17 +399,17 @@
     let gang = cell.submit(8, "patient", vec![Step { gang: true, ..step(8, 2_000, 2_000) }]);
     cell.run(10_000);
     assert_eq!(cell.stored(gang), JobState::Completed);
-    // Mean of the logarithms: 4 to the power of 1/8 is 1.19; counted by members, of 8/15, 2.09.
+    // Mean of the logarithms: 4 to the power of 1/8 is 1.19; counted by members, 4 to the power of
+    // 8/15 is 2.09.
     let expected = expected(&mut cell, 9, 2_000);
     assert!((2_200..2_700).contains(&expected), "{expected} ms");
     cell.check();
 }
 
-/// Symptom: one gang of eight is enough to mistrust the estimates of its queue, of which eight steps
-/// have to be seen. Sequence: the gang takes four times its estimate, and nothing else has ended.
-/// Cause: as above.
+/// Guards against estimates that are corrected after a single gang of eight, although eight steps
+/// have to be observed before. The gang takes four times its estimate, and nothing else has ended.
 #[test]
-fn one_gang_alone_leaves_estimates_at_their_word() {
+fn one_gang_alone_does_not_correct_estimates() {
     let mut cell = Cell::new(8, 42);
     cell.truth.insert(JobId(1), 400);
     let gang = cell.submit(1, "patient", vec![Step { gang: true, ..step(8, 2_000, 2_000) }]);
@@ -435,7 +434,7 @@
     cell.check();
 }
 
-/// Policies are asked about runners, tickets run out, and what was approved is remembered.
+/// The policy is asked about runners, tickets expire, and approvals are remembered.
 #[test]
 fn only_approved_runners_get_tasks() {
     let mut cell = Cell::new(12, 12);
@@ -448,10 +447,11 @@
     cell.check();
 }
 
-/// Everything together, over many seeds: takeovers, late and unanswered orders, commits without
-/// an answer, cuts, crashes with and without a successor life, cancellations.
+/// All faults together, over many seeds: leader changes, late and unanswered orders, commits
+/// without an answer, unreachable runners, crashes with and without a new incarnation,
+/// cancellations.
 #[test]
-fn mixed_faults_keep_every_promise() {
+fn mixed_faults_violate_no_invariant() {
     for seed in 0..60 {
         let mut cell = Cell::new(5, seed);
         let mut rng = StdRng::seed_from_u64(seed ^ 0xfa17);
@@ -498,13 +498,13 @@
     }
 }
 
-/// Symptom: with thousands of steps waiting on 350 runners a planning round takes 20 ms, of the 8 ms
-/// between rounds; lookups start late, and so does everything else.
-/// Sequence: 3,000 jobs come at once, half of them of a queue whose policy has to be asked, while the
-/// cell has room for a quarter; lookups come one by one.
-/// Cause: each round visits every waiting step, and looks at all runners for each.
+/// Guards against planning rounds of 20 ms, where the interval between rounds is 8 ms, with
+/// thousands of steps waiting on 350 runners: lookups start late, and so does everything else.
+/// 3,000 jobs arrive at once, half of them of a queue whose policy has to be asked, while the cell
+/// has capacity for a quarter; lookups arrive one by one. A round must not plan every waiting step
+/// and check all runners for each.
 #[test]
-fn a_backlog_leaves_rounds_bounded_and_lookups_first_and_starves_nobody() {
+fn a_backlog_keeps_rounds_bounded_and_lookups_first_and_starves_no_step() {
     let mut cell = Cell::new(350, 1);
     cell.lines = vec![0.0; 29];
     cell.run(300);
@@ -521,9 +521,10 @@
         let open = cell.engine.open_steps() as u64;
         cell.run(STEP_MS);
         let looks = cell.engine.counts.looks - before;
-        // A sweep ranks all that waits as it begins; the last step visited looks at all runners a few times.
-        let most = MOST_LOOKS + open + 4 * 350;
-        assert!(looks <= most, "{} ms: {looks} looks, {open} steps wait", cell.now);
+        // A pass ranks all waiting steps when it begins, and the last step planned checks all
+        // runners a few times.
+        let most = MAX_CHECKS_PER_ROUND + open + 4 * 350;
+        assert!(looks <= most, "{} ms: {looks} checks, {open} steps wait", cell.now);
     }
     cell.check();
     for (id, at) in lookups {
@@ -535,12 +536,12 @@
     }
 }
 
-/// Symptom: after a power loss patient tasks that are no gangs wait to the end of the day, with most of
-/// the cell empty. Sequence: all waiting steps have to be asked about anew; gangs come first by rank, and
-/// their long questions fill the lines as fast as they come free. Cause: what waits for a line went by
-/// rank alone.
+/// Guards against single tasks of non-urgent queues that wait to the end of the day after a power
+/// loss, with most of the cell empty. Advice is needed again for all waiting steps; gangs come
+/// first by rank, and their long requests fill the connections as fast as they become free.
+/// Requests must not be ordered by rank alone.
 #[test]
-fn gangs_leave_lines_to_other_patient_steps() {
+fn gangs_leave_connections_to_other_non_urgent_steps() {
     let slow = Approval { base_ms: 455.0, each_ms: 6.5, valid_ms: 2_000 };
     let quick = Approval { base_ms: 156.0, each_ms: 2.34, valid_ms: 2_000 };
     let queues = vec![queue("gangs", 1, 3, Some(slow)), queue("others", 2, 3, Some(quick))];
@@ -565,11 +566,11 @@
     cell.check();
 }
 
-/// Symptom: on a cell that needs more answers than its lines to the approval service give, each question
-/// waits 3 s, tickets and bookings run out meanwhile, and steps ask anew.
-/// Cause: every waiting step asked at once, and questions queued without a limit.
+/// Guards against requests that queue for 3 s on a cell that needs more advice than its connections
+/// provide: tickets and reservations expire meanwhile, and requests are repeated. Requests must not
+/// be sent for every waiting step at once, and the queue must be bounded.
 #[test]
-fn questions_about_patient_steps_do_not_pile_up_on_their_lines() {
+fn advice_requests_of_non_urgent_steps_do_not_pile_up() {
     let mut cell = Cell::new(350, 1);
     cell.lines = vec![0.0; 4];
     cell.engine.lines = 4;
@@ -579,7 +580,7 @@
     while cell.now < 20_000 && cell.ended.len() < 600 {
         cell.run(STEP_MS);
         let longest = cell.lines.iter().fold(0.0, |most: f64, l| most.max(l - cell.now as f64));
-        assert!(longest <= 1_000.0, "{} ms: a line is busy for {longest} ms", cell.now);
+        assert!(longest <= 1_000.0, "{} ms: a connection is busy for {longest} ms", cell.now);
     }
     cell.check();
     for id in jobs {
