--- a/src/entry/loops.rs
+++ b/src/entry/loops.rs
@@ -160,7 +160,7 @@
     async fn sweep(&self, now: Millis) -> Result<(), PlatformError> {
         let (held, usable) = self.held().await;
         let first = self.inventory.lock().unwrap().as_ref().map(|i| i.shards[0].0.clone());
-        let sweep = sched::sweep::Sweep {
+        let sweep = sched::gc::Sweep {
             platform: &self.platform,
             me: &self.addr.id,
             domain: &self.addr.domain,
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -1,22 +1,22 @@
 //! The scheduler of one entry instance.
 //!
 //! Each round polls the workers of the shards held, which extends task leases and returns
-//! completions, and plans on cached rows ([`plan`], [`ends`], [`serve`] and the modules that they
+//! completions, and plans on cached rows ([`plan`], [`completions`], [`serve`] and the modules that they
 //! call). It commits the changes of all shards in one fenced transaction ([`commit`]), because the
 //! table's write budget is the scarcest resource, and then sends the starts and stops ([`orders`]).
 //! A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its workers
 //! report as running.
 
 mod commit;
-mod ends;
+mod completions;
+pub mod gc;
 mod load;
+mod migrate;
 mod orders;
 mod plan;
 mod preempt;
 mod quota;
 mod serve;
-mod spill;
-pub mod sweep;
 
 use crate::entry::catalogue::Catalogue;
 use crate::entry::rows::{JobRow, QuotaRow};
