--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -110,13 +110,13 @@
         // catalogue is read once before the job is refused.
         cat = e.refresh_catalogue().await;
     }
-    let rooms = e.rooms.lock().unwrap().clone();
+    let rack_capacities = e.rack_capacities.lock().unwrap().clone();
     let accept = jobs::Accept {
         table: &e.platform,
         clock: &e.clock,
         cat: &cat,
         inventory: &inventory,
-        rooms: &rooms,
+        rack_capacities: &rack_capacities,
         domain: &e.addr.domain,
     };
     match jobs::submit(&accept, spec).await {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -8,7 +8,7 @@
 use crate::standin::api::StopReq;
 use crate::standin::client::{Client, PlatformError};
 use crate::standin::table::{Cond, Op, Outcome, Txn};
-use crate::standin::tasks::RackRoom;
+use crate::standin::tasks::RackCapacity;
 use crate::standin::{place_key, PlaceRow};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3;
@@ -106,15 +106,20 @@
 
 impl Inventory {
     /// Returns the index of the shard for a new job: of two shards selected by the hash of the job
-    /// id, the one with more free capacity as reported in `rooms`. The report is delayed, so a
-    /// choice of the best of all shards would send a whole burst to one of them.
-    pub fn choose(&self, id: &str, spec: &JobSpec, rooms: &BTreeMap<String, RackRoom>) -> usize {
+    /// id, the one with more free capacity as reported in `rack_capacities`. The report is delayed,
+    /// so a choice of the best of all shards would send a whole burst to one of them.
+    pub fn choose(
+        &self,
+        id: &str,
+        spec: &JobSpec,
+        rack_capacities: &BTreeMap<String, RackCapacity>,
+    ) -> usize {
         let n = self.shards.len().max(1) as u64;
         let h = xxh3::xxh3_64(id.as_bytes());
         let (a, b) = ((h % n) as usize, ((h >> 32) % n) as usize);
         let rank = |i: usize| {
-            let room = self.shards.get(i).and_then(|(s, _, _)| rooms.get(s));
-            room.map(|r| (spec.demand.fits(&r.largest), r.free))
+            let rack = self.shards.get(i).and_then(|(s, _, _)| rack_capacities.get(s));
+            rack.map(|r| (spec.demand.fits(&r.largest), r.free))
         };
         if rank(b) > rank(a) {
             b
@@ -135,7 +140,7 @@
     /// Shards of the failure domain.
     pub inventory: &'a Inventory,
     /// Free capacity of the shards, as the platform reports it with a delay.
-    pub rooms: &'a BTreeMap<String, RackRoom>,
+    pub rack_capacities: &'a BTreeMap<String, RackCapacity>,
     /// Failure domain of this instance.
     pub domain: &'a str,
 }
@@ -145,7 +150,7 @@
     /// run.
     fn row(&self, entry: &CatEntry, spec: JobSpec) -> JobRow {
         let id = job_id(&spec.key);
-        let chosen = self.inventory.choose(&id, &spec, self.rooms);
+        let chosen = self.inventory.choose(&id, &spec, self.rack_capacities);
         let (shard, total, largest) = &self.inventory.shards[chosen];
         let (state, task) = match refusal_reason(&spec, entry.class, total, largest) {
             Some(r) => (JobState::Refused { reason: r.to_string() }, TaskState::Refused),
@@ -162,7 +167,7 @@
             submitted: self.clock.now(),
             started: None,
             moves: 0,
-            shun: BTreeSet::new(),
+            failed_on: BTreeSet::new(),
             retry: 0,
             spec,
         }
--- a/src/entry/loops.rs
+++ b/src/entry/loops.rs
@@ -23,7 +23,7 @@
 
 /// The free capacity of the domain's racks is read with one of this many heartbeats. It serves only
 /// as a hint.
-const ROOMS_EVERY_HEARTBEATS: u64 = 3;
+const RACK_CAPACITY_HEARTBEATS: u64 = 3;
 
 /// Interval between attempts to read the worker list, ms.
 const WORKER_LIST_RETRY_MS: u64 = 300;
@@ -75,8 +75,8 @@
             if let Err(e) = renewed {
                 log::debug!("heartbeat failed: {e}");
             }
-            if n.is_multiple_of(ROOMS_EVERY_HEARTBEATS) {
-                self.read_rooms().await;
+            if n.is_multiple_of(RACK_CAPACITY_HEARTBEATS) {
+                self.read_rack_capacities().await;
             }
             if !self.sleep_unless_stopped(self.timing.heartbeat_ms).await {
                 return;
@@ -85,26 +85,26 @@
     }
 
     /// Reads the free capacity of the domain's racks; keeps the last one on an error.
-    async fn read_rooms(&self) {
-        if let Ok(rooms) = self.platform.rooms(&self.addr.domain).await {
-            let rooms = rooms.into_iter().map(|r| (r.shard.clone(), r)).collect();
-            *self.rooms.lock().unwrap() = rooms;
+    async fn read_rack_capacities(&self) {
+        if let Ok(racks) = self.platform.rack_capacity(&self.addr.domain).await {
+            let by_shard = racks.into_iter().map(|r| (r.shard.clone(), r)).collect();
+            *self.rack_capacities.lock().unwrap() = by_shard;
         }
     }
 
     /// Runs scheduling rounds, and garbage collection every `sweep_ms`.
     pub(super) async fn schedule(self: Arc<Self>) {
         let Some(mut s) = self.read_workers().await else { return };
-        let mut last_sweep = self.clock.now();
+        let mut last_pass = self.clock.now();
         loop {
             if let Err(e) = self.round(&mut s).await {
                 log::debug!("round failed: {e}");
             }
             *self.view.lock().unwrap() = view(&s);
             let now = self.clock.now();
-            if now >= last_sweep + self.timing.sweep_ms {
-                last_sweep = now;
-                if let Err(e) = self.sweep(now).await {
+            if now >= last_pass + self.timing.sweep_ms {
+                last_pass = now;
+                if let Err(e) = self.collect_garbage(now).await {
                     log::debug!("garbage collection failed: {e}");
                 }
             }
@@ -132,7 +132,7 @@
         if held.is_empty() {
             return Ok(());
         }
-        s.rooms = self.rooms.lock().unwrap().clone();
+        s.rack_capacities = self.rack_capacities.lock().unwrap().clone();
         let cat = self.catalogue();
         let cx = sched::Ctx {
             platform: &self.platform,
@@ -157,19 +157,19 @@
 
     /// Removes old rows of the shards held. The holder of the domain's first shard also removes old
     /// write records and saves the catalogue snapshot.
-    async fn sweep(&self, now: Millis) -> Result<(), PlatformError> {
+    async fn collect_garbage(&self, now: Millis) -> Result<(), PlatformError> {
         let (held, usable) = self.held().await;
         let first = self.inventory.lock().unwrap().as_ref().map(|i| i.shards[0].0.clone());
-        let sweep = sched::gc::Sweep {
+        let pass = sched::gc::Pass {
             platform: &self.platform,
             me: &self.addr.id,
             domain: &self.addr.domain,
             before: now.saturating_sub(self.timing.keep_ms),
         };
         for (shard, &epoch) in held.iter().filter(|(s, _)| usable.contains(*s)) {
-            let mut removed = sweep.jobs(shard, epoch).await?;
+            let mut removed = pass.jobs(shard, epoch).await?;
             if Some(shard) == first.as_ref() {
-                removed += sweep.writes(shard, epoch).await?;
+                removed += pass.writes(shard, epoch).await?;
                 snapshot::save(&self.platform, &self.addr.domain, &self.catalogue()).await?;
             }
             metrics::counter!("entry_rows_swept").increment(removed as u64);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -20,7 +20,7 @@
 use crate::kernel::stop::{self, Stop};
 use crate::options::{Cell, EntryAddr, Timing};
 use crate::standin::client::Client;
-use crate::standin::tasks::RackRoom;
+use crate::standin::tasks::RackCapacity;
 use async_std::sync::Mutex as AsyncMutex;
 use async_std::task;
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,7 +43,7 @@
     /// Shards of the failure domain; none until the worker list has been read.
     pub inventory: Mutex<Option<Arc<jobs::Inventory>>>,
     /// Free capacity of each shard of the domain, as the platform reports it with a delay.
-    pub rooms: Mutex<BTreeMap<String, RackRoom>>,
+    pub rack_capacities: Mutex<BTreeMap<String, RackCapacity>>,
     /// State of the scheduler after its last round, for the state dump.
     view: Mutex<serde_json::Value>,
     /// Connections to the runners.
@@ -100,7 +100,7 @@
             cat: Mutex::default(),
             members: AsyncMutex::new(members),
             inventory: Mutex::default(),
-            rooms: Mutex::default(),
+            rack_capacities: Mutex::default(),
             view: Mutex::default(),
             writes,
             pool,
@@ -221,7 +221,7 @@
             let shard = serde_json::json!({
                 "epoch": v.loaded, "workers": v.workers.len(), "acked": v.acked,
                 "unstarted": v.unstarted.len(), "stopping": v.stopping.len(),
-                "waiting": s.marks.get(name).map_or(0, BTreeMap::len),
+                "waiting": s.pending.get(name).map_or(0, BTreeMap::len),
             });
             (name, shard)
         })
@@ -229,10 +229,11 @@
     let impaired: BTreeMap<&String, serde_json::Value> = s
         .workers
         .iter()
-        .filter(|(_, w)| w.cut || w.avoid > 0 || !w.blame.is_empty())
+        .filter(|(_, w)| w.unreachable || w.avoid_until > 0 || !w.failures.is_empty())
         .map(|(_, w)| {
-            let state =
-                serde_json::json!({ "cut": w.cut, "avoid_until": w.avoid, "blame": w.blame });
+            let state = serde_json::json!({
+                "cut": w.unreachable, "avoid_until": w.avoid_until, "blame": w.failures,
+            });
             (&w.info.name, state)
         })
         .collect();
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -159,8 +159,8 @@
     #[serde(default, skip_serializing_if = "is_default")]
     pub moves: u32,
     /// Workers on which tasks of the job failed; other workers are preferred.
-    #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
-    pub shun: BTreeSet<String>,
+    #[serde(rename = "shun", default, skip_serializing_if = "BTreeSet::is_empty")]
+    pub failed_on: BTreeSet<String>,
     /// Earliest time of the next placement after a failure, Unix ms.
     #[serde(default, skip_serializing_if = "is_default")]
     pub retry: Millis,
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -91,7 +91,7 @@
             Some(p) => Op::Put { key: place_key(shard, task), value: p.value() },
             None => Op::Delete { key: place_key(shard, task) },
         }));
-        ops.extend(plan.marks.iter().map(|((shard, id), set)| {
+        ops.extend(plan.pending.iter().map(|((shard, id), set)| {
             let key = rows::pending_key(cx.domain, shard, id);
             match set {
                 true => rows::put_marker(key),
@@ -136,8 +136,8 @@
             let version = version(rows::quota_key(cx.domain, &team), old);
             self.quotas.insert(team, Cached { version, row });
         }
-        for ((shard, id), set) in plan.marks {
-            let m = self.marks.entry(shard).or_default();
+        for ((shard, id), set) in plan.pending {
+            let m = self.pending.entry(shard).or_default();
             if set {
                 m.entry(id).or_insert(plan.now);
             } else {
@@ -189,7 +189,7 @@
         match cause {
             FailureCause::NotFailed => {
                 let w = self.workers.get_mut(k);
-                (w.blame, w.avoid) = (BTreeSet::new(), 0);
+                (w.failures, w.avoid_until) = (BTreeSet::new(), 0);
             }
             FailureCause::Worker => self.record_failure(k, task, now),
             FailureCause::Job => {
@@ -205,12 +205,13 @@
     fn record_failure(&mut self, k: WorkerKey, task: &str, now: u64) {
         let shard = shard_of(&self.workers.get(k).info);
         let shard_workers = self.shards.get(&shard).map_or(&[][..], |s| &s.workers);
-        let avoided = shard_workers.iter().filter(|&&p| self.workers.get(p).avoid > now).count();
+        let avoided =
+            shard_workers.iter().filter(|&&p| self.workers.get(p).avoid_until > now).count();
         let allowed = avoided < shard_workers.len().div_ceil(AVOID_AT_MOST_ONE_IN);
         let w = self.workers.get_mut(k);
-        w.blame.insert(task.to_string());
-        if w.blame.len() >= AVOID_AFTER && allowed && w.avoid <= now {
-            w.avoid = now + AVOID_MS;
+        w.failures.insert(task.to_string());
+        if w.failures.len() >= AVOID_AFTER && allowed && w.avoid_until <= now {
+            w.avoid_until = now + AVOID_MS;
             log::warn!("worker {} avoided for {AVOID_MS} ms", w.info.name);
             metrics::counter!("entry_workers_avoided").increment(1);
         }
@@ -219,9 +220,9 @@
     /// Removes the tasks of a job, given by their common prefix, from the failures of all workers.
     fn clear_failures(&mut self, prefix: &str) {
         for (_, w) in self.workers.iter_mut() {
-            w.blame.retain(|t| !t.starts_with(prefix));
-            if w.blame.len() < AVOID_AFTER {
-                w.avoid = 0;
+            w.failures.retain(|t| !t.starts_with(prefix));
+            if w.failures.len() < AVOID_AFTER {
+                w.avoid_until = 0;
             }
         }
     }
--- a/src/entry/sched/completions.rs
+++ b/src/entry/sched/completions.rs
@@ -6,7 +6,7 @@
 use crate::entry::rows::{self, TaskState};
 use crate::kernel::clock::Millis;
 use crate::kernel::res::Class;
-use crate::standin::tasks::{Ended, How};
+use crate::standin::tasks::{Completion, EndKind};
 use std::collections::BTreeMap;
 
 /// Delay before a failed task is placed again, ms. It doubles with each failure, so that a
@@ -29,7 +29,7 @@
         }
     }
 
-    fn apply_completion(&mut self, name: &str, epoch: u64, e: &Ended) {
+    fn apply_completion(&mut self, name: &str, epoch: u64, e: &Completion) {
         let Some(&k) = self.s.names.get(&e.worker) else { return };
         let Some((id, n)) = rows::task_parts(&e.task) else { return };
         let Some(t) = self.job(id).and_then(|j| j.tasks.get(n)) else {
@@ -53,41 +53,41 @@
 
     /// Returns the cause to record for completion `e` of a task of job `id`; none if it says
     /// nothing about worker or job.
-    fn failure_cause(&self, id: &str, e: &Ended) -> Option<FailureCause> {
-        let elsewhere = || self.job(id).is_some_and(|j| j.shun.iter().any(|w| *w != e.worker));
+    fn failure_cause(&self, id: &str, e: &Completion) -> Option<FailureCause> {
+        let elsewhere = || self.job(id).is_some_and(|j| j.failed_on.iter().any(|w| *w != e.worker));
         match e.how {
-            How::Done => Some(FailureCause::NotFailed),
-            How::Failed if elsewhere() => Some(FailureCause::Job),
-            How::Failed => Some(FailureCause::Worker),
-            How::Stopped | How::Lapsed => None,
+            EndKind::Done => Some(FailureCause::NotFailed),
+            EndKind::Failed if elsewhere() => Some(FailureCause::Job),
+            EndKind::Failed => Some(FailureCause::Worker),
+            EndKind::Stopped | EndKind::Lapsed => None,
         }
     }
 
     /// Sets the next state of task `n` of job `id` after its current attempt ended as `how`.
-    fn end_task(&mut self, name: &str, epoch: u64, id: &str, n: usize, how: How, saved: u8) {
+    fn end_task(&mut self, name: &str, epoch: u64, id: &str, n: usize, how: EndKind, saved: u8) {
         let now = self.plan.now;
         let Some(row) = self.job_mut(id) else { return };
         let service = row.class == Class::Service;
         let t = &mut row.tasks[n];
         let worker = t.worker.take();
-        t.saved = if how == How::Failed { 0 } else { saved };
-        t.fails += u32::from(how == How::Failed);
+        t.saved = if how == EndKind::Failed { 0 } else { saved };
+        t.fails += u32::from(how == EndKind::Failed);
         t.state = match how {
-            How::Done => TaskState::Finished,
-            How::Failed if t.fails >= MAX_FAILS && !service => TaskState::Failed,
-            How::Failed | How::Stopped | How::Lapsed => TaskState::Pending,
+            EndKind::Done => TaskState::Finished,
+            EndKind::Failed if t.fails >= MAX_FAILS && !service => TaskState::Failed,
+            EndKind::Failed | EndKind::Stopped | EndKind::Lapsed => TaskState::Pending,
         };
-        if how == How::Failed {
+        if how == EndKind::Failed {
             let doublings = row.tasks[n].fails.min(MAX_DOUBLINGS);
             row.retry = now + (RETRY_MS << doublings);
-            row.shun.extend(worker);
+            row.failed_on.extend(worker);
         }
         update_state(row, now);
         match how {
-            How::Done => self.plan.counts.finished += 1,
-            How::Failed => self.plan.counts.failed += 1,
-            How::Lapsed => self.plan.counts.lost += 1,
-            How::Stopped => {}
+            EndKind::Done => self.plan.counts.finished += 1,
+            EndKind::Failed => self.plan.counts.failed += 1,
+            EndKind::Lapsed => self.plan.counts.lost += 1,
+            EndKind::Stopped => {}
         }
         self.sync_pending(name, epoch, id);
     }
@@ -100,7 +100,10 @@
         let lost_after = hold + hold / 20 + LAPSE_MARGIN_MS;
         for &k in &shard.workers {
             let w = self.s.workers.get(k);
-            if !w.cut || self.plan.now < w.heard + lost_after || self.commit(k).tasks.is_empty() {
+            if !w.unreachable
+                || self.plan.now < w.last_contact + lost_after
+                || self.commit(k).tasks.is_empty()
+            {
                 continue;
             }
             log::warn!("worker {} lost: unreachable for over {lost_after} ms", w.info.name);
@@ -112,7 +115,7 @@
                     t.state == TaskState::Placed && t.worker.as_ref() == Some(&w.info.name)
                 });
                 if placed {
-                    self.end_task(name, epoch, id, n, How::Lapsed, 0);
+                    self.end_task(name, epoch, id, n, EndKind::Lapsed, 0);
                 }
             }
         }
--- a/src/entry/sched/gc.rs
+++ b/src/entry/sched/gc.rs
@@ -17,7 +17,7 @@
 const MAX_IDS_PER_PASS: usize = 400;
 
 /// Inputs of a garbage collection pass.
-pub struct Sweep<'a> {
+pub struct Pass<'a> {
     /// Client of the platform.
     pub platform: &'a Client,
     /// Id of this instance.
@@ -28,7 +28,7 @@
     pub before: Millis,
 }
 
-impl Sweep<'_> {
+impl Pass<'_> {
     /// Returns the keys under `prefix` whose time is before the limit, oldest first, as (key, id).
     async fn expired(&self, prefix: &str) -> Result<Vec<(String, String)>, PlatformError> {
         let rows = self.platform.scan(prefix).await?;
--- a/src/entry/sched/load.rs
+++ b/src/entry/sched/load.rs
@@ -36,7 +36,7 @@
                 // considered lost before that time.
                 let now = cx.clock.now();
                 for name in held.keys() {
-                    self.heard(name, &BTreeSet::new(), now);
+                    self.record_contact(name, &BTreeSet::new(), now);
                 }
                 return Err(e);
             }
@@ -50,8 +50,8 @@
                 lost.push(p.shard.clone());
                 continue;
             }
-            let cut: BTreeSet<String> = r.cut.into_iter().collect();
-            self.heard(&p.shard, &cut, now);
+            let unreachable: BTreeSet<String> = r.unreachable.into_iter().collect();
+            self.record_contact(&p.shard, &unreachable, now);
             let Some(s) = self.shards.get_mut(&p.shard) else { continue };
             s.ended = r.ended;
             if p.inventory {
@@ -61,18 +61,19 @@
         Ok(lost)
     }
 
-    /// Records `now` as the last contact with the workers of `shard`, except for those in `cut`.
-    fn heard(&mut self, shard: &str, cut: &BTreeSet<String>, now: u64) {
+    /// Records `now` as the last contact with the workers of `shard`, except for those in
+    /// `unreachable`.
+    fn record_contact(&mut self, shard: &str, unreachable: &BTreeSet<String>, now: u64) {
         let Some(s) = self.shards.get(shard) else { return };
         for &k in &s.workers {
             let w = self.workers.get_mut(k);
-            let was_cut = w.cut;
-            w.cut = cut.contains(&w.info.name);
-            if w.cut != was_cut {
-                log::info!("worker {} reachable={}", w.info.name, was_cut);
+            let was_unreachable = w.unreachable;
+            w.unreachable = unreachable.contains(&w.info.name);
+            if w.unreachable != was_unreachable {
+                log::info!("worker {} reachable={}", w.info.name, was_unreachable);
             }
-            if !w.cut || w.heard == 0 {
-                w.heard = now;
+            if !w.unreachable || w.last_contact == 0 {
+                w.last_contact = now;
             }
         }
     }
@@ -84,7 +85,7 @@
         let feed = cx.platform.feed(&prefix, self.revision).await?;
         self.revision = feed.revision;
         if feed.reset {
-            self.marks.clear();
+            self.pending.clear();
             self.jobs.clear();
         }
         let now = cx.clock.now();
@@ -95,10 +96,10 @@
         for (shard, id) in feed.rows.keys().filter_map(|k| split(k)) {
             // The writer of the entry also changed the job row, so it must be read again.
             self.jobs.remove(&id);
-            self.marks.entry(shard).or_default().entry(id).or_insert(now);
+            self.pending.entry(shard).or_default().entry(id).or_insert(now);
         }
         for (shard, id) in feed.gone.iter().filter_map(|k| split(k)) {
-            if let Some(m) = self.marks.get_mut(&shard) {
+            if let Some(m) = self.pending.get_mut(&shard) {
                 m.remove(&id);
             }
         }
@@ -141,7 +142,7 @@
     ) -> Result<(), PlatformError> {
         let mut want: BTreeSet<String> = BTreeSet::new();
         for name in live.keys() {
-            want.extend(self.marks.get(name).into_iter().flat_map(|m| m.keys().cloned()));
+            want.extend(self.pending.get(name).into_iter().flat_map(|m| m.keys().cloned()));
             let Some(s) = self.shards.get(name) else { continue };
             let ended = s.ended.iter().map(|e| &e.task);
             let committed = s.workers.iter().flat_map(|&k| self.workers.get(k).commit.tasks.keys());
--- a/src/entry/sched/migrate.rs
+++ b/src/entry/sched/migrate.rs
@@ -11,7 +11,7 @@
 use crate::entry::rows::JobRow;
 use crate::kernel::clock::Millis;
 use crate::kernel::res::Class;
-use crate::standin::tasks::RackRoom;
+use crate::standin::tasks::RackCapacity;
 
 /// Time that an urgent job waits in a shard before its first move, ms.
 const URGENT_WAIT_MS: Millis = 300;
@@ -46,13 +46,14 @@
         if row.moves >= URGENT_MOVES && row.class == Class::Urgent {
             return None;
         }
-        let others = self.s.rooms.values().filter(|r| r.shard != name && row_fits(r, row));
+        let others =
+            self.s.rack_capacities.values().filter(|r| r.shard != name && row_fits(r, row));
         others.max_by_key(|r| (r.free, r.shard.clone())).map(|r| r.shard.clone())
     }
 
     /// Returns whether `row` has waited in shard `name` long enough for its next move.
     fn waited_enough(&self, name: &str, row: &JobRow) -> bool {
-        let Some(since) = self.s.marks.get(name).and_then(|m| m.get(&row.id)) else {
+        let Some(since) = self.s.pending.get(name).and_then(|m| m.get(&row.id)) else {
             return false;
         };
         let wait = if row.class == Class::Urgent { URGENT_WAIT_MS } else { WAIT_MS };
@@ -60,10 +61,10 @@
     }
 }
 
-/// Returns whether `row` fits into `room`: all tasks of a gang, one task of any other job.
-fn row_fits(room: &RackRoom, row: &JobRow) -> bool {
+/// Returns whether `row` fits into `rack`: all tasks of a gang, one task of any other job.
+fn row_fits(rack: &RackCapacity, row: &JobRow) -> bool {
     let demand = &row.spec.demand;
     let whole_gang_fits =
-        row.class != Class::Gang || demand.times(row.tasks.len() as u64).fits(&room.free);
-    whole_gang_fits && demand.fits(&room.largest)
+        row.class != Class::Gang || demand.times(row.tasks.len() as u64).fits(&rack.free);
+    whole_gang_fits && demand.fits(&rack.largest)
 }
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -1,11 +1,11 @@
 //! The scheduler of one entry instance.
 //!
 //! Each round polls the workers of the shards held, which extends task leases and returns
-//! completions, and plans on cached rows ([`plan`], [`completions`], [`serve`] and the modules that they
-//! call). It commits the changes of all shards in one fenced transaction ([`commit`]), because the
-//! table's write budget is the scarcest resource, and then sends the starts and stops ([`orders`]).
-//! A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its workers
-//! report as running.
+//! completions, and plans on cached rows ([`plan`], [`completions`], [`serve`] and the modules that
+//! they call). It commits the changes of all shards in one fenced transaction ([`commit`]), because
+//! the table's write budget is the scarcest resource, and then sends the starts and stops
+//! ([`orders`]). A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its
+//! workers report as running.
 
 mod commit;
 mod completions;
@@ -25,7 +25,7 @@
 use crate::kernel::res::Resources;
 use crate::standin::api::StopReq;
 use crate::standin::client::{Client, PlatformError};
-use crate::standin::tasks::{shard_of, Ended, RackRoom, StartReq, WorkerInfo};
+use crate::standin::tasks::{shard_of, Completion, RackCapacity, StartReq, WorkerInfo};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -76,14 +76,18 @@
     /// Commitments as last read or written by this instance.
     pub commit: Commit,
     /// Tasks that failed here, of jobs that have failed on no other worker so far.
-    pub blame: BTreeSet<String>,
+    #[serde(rename = "blame")]
+    pub failures: BTreeSet<String>,
     /// Local time until which the worker is avoided, ms; 0 when it is not avoided.
-    pub avoid: Millis,
+    #[serde(rename = "avoid")]
+    pub avoid_until: Millis,
     /// Local time of the last contact, ms: a poll that reached the worker, or a poll or start that
     /// may have reached it. Its task leases may last until this time plus the lease period.
-    pub heard: Millis,
+    #[serde(rename = "heard")]
+    pub last_contact: Millis,
     /// Whether the last poll failed to reach the worker.
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub unreachable: bool,
 }
 
 /// One shard: a rack of workers.
@@ -99,7 +103,7 @@
     /// Sequence number up to which completions are committed.
     pub acked: u64,
     /// Completions reported and not yet committed.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<Completion>,
     /// Start orders that the workers have not yet answered, by task id.
     pub unstarted: BTreeMap<String, StartReq>,
     /// Stop orders, sent again until the completion that they cause is reported, by task id.
@@ -189,13 +193,15 @@
     pub jobs: BTreeMap<String, Cached<JobRow>>,
     /// Pending-job entries: the ids of jobs to serve in each shard, with the local time at which
     /// each was first seen, ms.
-    pub marks: BTreeMap<String, BTreeMap<String, Millis>>,
-    /// Revision of the table up to which `marks` is current.
+    #[serde(rename = "marks")]
+    pub pending: BTreeMap<String, BTreeMap<String, Millis>>,
+    /// Revision of the table up to which `pending` is current.
     pub revision: u64,
     /// Quota rows of the teams that have work in the shards held, by team.
     pub quotas: BTreeMap<String, Cached<QuotaRow>>,
     /// Free capacity of each shard of the domain, as the platform reports it with a delay.
-    pub rooms: BTreeMap<String, RackRoom>,
+    #[serde(rename = "rooms")]
+    pub rack_capacities: BTreeMap<String, RackCapacity>,
     /// Platform time of the last poll, ms.
     pub polled: Millis,
     /// Counters.
@@ -232,10 +238,10 @@
             let view = WorkerView {
                 info: info.clone(),
                 commit: Commit::default(),
-                blame: BTreeSet::new(),
-                avoid: 0,
-                heard: 0,
-                cut: false,
+                failures: BTreeSet::new(),
+                avoid_until: 0,
+                last_contact: 0,
+                unreachable: false,
             };
             let k = s.workers.push(view);
             s.names.insert(info.name.clone(), k);
@@ -315,8 +321,10 @@
     /// Returns the highest activity among the loaded shards.
     pub fn activity(&self) -> Activity {
         let of_shard = |(name, s): (&String, &Shard)| {
-            let waits = self.marks.get(name).is_some_and(|m| !m.is_empty());
-            if waits || !(s.unstarted.is_empty() && s.stopping.is_empty() && s.ended.is_empty()) {
+            let has_pending = self.pending.get(name).is_some_and(|m| !m.is_empty());
+            if has_pending
+                || !(s.unstarted.is_empty() && s.stopping.is_empty() && s.ended.is_empty())
+            {
                 Activity::Busy
             } else if s.workers.iter().any(|&k| !self.workers.get(k).commit.tasks.is_empty()) {
                 Activity::Running
@@ -336,12 +344,12 @@
             .flat_map(|(_, w)| w.commit.tasks.keys())
             .filter_map(|t| Some(crate::entry::rows::task_parts(t)?.0))
             .collect();
-        let marks = &self.marks;
+        let pending = &self.pending;
         self.jobs.retain(|id, j| {
             let shard = &j.row.shard;
             held.contains_key(shard)
                 && (committed.contains(id.as_str())
-                    || marks.get(shard).is_some_and(|m| m.contains_key(id)))
+                    || pending.get(shard).is_some_and(|m| m.contains_key(id)))
         });
     }
 }
--- a/src/entry/sched/orders.rs
+++ b/src/entry/sched/orders.rs
@@ -29,8 +29,9 @@
         // that this poll did not reach. The last order has therefore expired before the worker is
         // considered lost, and cannot start a task that was placed again elsewhere.
         let by = self.polled + cx.hold_ms / 2;
-        let reached =
-            |r: &&StartReq| self.names.get(&r.worker).is_some_and(|&k| !self.workers.get(k).cut);
+        let reached = |r: &&StartReq| {
+            self.names.get(&r.worker).is_some_and(|&k| !self.workers.get(k).unreachable)
+        };
         let orders = self.shards.values().flat_map(|s| s.unstarted.values());
         let batch: Vec<StartReq> =
             orders.filter(reached).map(|r| StartReq { by, ..r.clone() }).collect();
@@ -43,7 +44,7 @@
             // The starts may have taken effect, and with them the task leases that they carry.
             for req in &batch {
                 if let Some(&k) = self.names.get(&req.worker) {
-                    self.workers.get_mut(k).heard = now;
+                    self.workers.get_mut(k).last_contact = now;
                 }
             }
         }
--- a/src/entry/sched/plan.rs
+++ b/src/entry/sched/plan.rs
@@ -43,7 +43,7 @@
     /// Placement rows by (shard, task): written if some, deleted if none.
     pub places: BTreeMap<(String, String), Option<PlaceRow>>,
     /// Pending-job entries to set (true) or remove (false), by (shard, job).
-    pub marks: BTreeMap<(String, String), bool>,
+    pub pending: BTreeMap<(String, String), bool>,
     /// Jobs that ended in this round, by (shard, job).
     pub done: BTreeSet<(String, String)>,
     /// Starts to send after the commit, with their shard.
@@ -70,7 +70,7 @@
         !self.places.is_empty()
             || !self.jobs.is_empty()
             || !self.quotas.is_empty()
-            || !self.marks.is_empty()
+            || !self.pending.is_empty()
     }
 }
 
@@ -155,11 +155,11 @@
         let Some(row) = self.job(id) else { return };
         let (waits, ended) = (row.waiting() && !row.ended(), row.ended());
         let key = (name.to_string(), id.to_string());
-        let marked = self.s.marks.get(name).is_some_and(|m| m.contains_key(id));
-        match (marked, waits) {
-            (false, true) => drop(self.plan.marks.insert(key.clone(), true)),
-            (true, false) => drop(self.plan.marks.insert(key.clone(), false)),
-            _ => drop(self.plan.marks.remove(&key)),
+        let listed = self.s.pending.get(name).is_some_and(|m| m.contains_key(id));
+        match (listed, waits) {
+            (false, true) => drop(self.plan.pending.insert(key.clone(), true)),
+            (true, false) => drop(self.plan.pending.insert(key.clone(), false)),
+            _ => drop(self.plan.pending.remove(&key)),
         }
         let ended_before = self.s.jobs.get(id).is_some_and(|c| c.row.ended());
         if ended && !ended_before {
@@ -190,14 +190,14 @@
         self.plan.starts.push((name.to_string(), req));
     }
 
-    /// Moves a job from shard `from` to shard `to`; see [`super::spill`].
+    /// Moves a job from shard `from` to shard `to`; see [`super::migrate`].
     pub fn move_job(&mut self, from: &str, epoch: u64, id: &str, to: &str) {
         let Some(row) = self.job_mut(id) else { return };
         row.shard = to.to_string();
         row.moves += 1;
         self.plan.leases.insert(from.to_string(), epoch);
-        self.plan.marks.insert((from.to_string(), id.to_string()), false);
-        self.plan.marks.insert((to.to_string(), id.to_string()), true);
+        self.plan.pending.insert((from.to_string(), id.to_string()), false);
+        self.plan.pending.insert((to.to_string(), id.to_string()), true);
         self.plan.counts.spilled += 1;
     }
 }
--- a/src/entry/sched/preempt.rs
+++ b/src/entry/sched/preempt.rs
@@ -45,7 +45,7 @@
         k: WorkerKey,
     ) -> Option<Victims> {
         let w = self.s.workers.get(k);
-        if w.cut || w.avoid > self.plan.now {
+        if w.unreachable || w.avoid_until > self.plan.now {
             return None;
         }
         let commit = self.commit(k);
--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -54,7 +54,7 @@
     ) -> Result<(), PlatformError> {
         let teams: BTreeSet<String> = live
             .keys()
-            .filter_map(|s| self.marks.get(s))
+            .filter_map(|s| self.pending.get(s))
             .flat_map(|m| m.keys())
             .filter_map(|id| self.jobs.get(id))
             .filter(|j| j.row.state == JobState::Pending)
@@ -168,7 +168,7 @@
     /// Returns whether `team` has committed tasks or waiting jobs in `shard`.
     fn has_work(&self, shard: &str, team: &str) -> bool {
         let of_team = |id: &str| self.job(id).is_some_and(|j| j.team == team);
-        let waiting = self.s.marks.get(shard).is_some_and(|m| m.keys().any(|id| of_team(id)));
+        let waiting = self.s.pending.get(shard).is_some_and(|m| m.keys().any(|id| of_team(id)));
         waiting || self.team_used(shard, team) != Resources::ZERO
     }
 }
--- a/src/entry/sched/serve.rs
+++ b/src/entry/sched/serve.rs
@@ -21,11 +21,11 @@
 impl Draft<'_> {
     /// Serves the jobs with a pending-job entry by class, deadline and submission time.
     pub fn serve_jobs(&mut self, name: &str, epoch: u64, shard: &Shard) {
-        let Some(marks) = self.s.marks.get(name) else { return };
+        let Some(entries) = self.s.pending.get(name) else { return };
         let mut order: Vec<(usize, Millis, Millis, &String)> = Vec::new();
-        for id in marks.keys() {
+        for id in entries.keys() {
             let Some(row) = self.job(id) else {
-                self.plan.marks.insert((name.to_string(), id.clone()), false);
+                self.plan.pending.insert((name.to_string(), id.clone()), false);
                 self.plan.leases.insert(name.to_string(), epoch);
                 continue;
             };
@@ -218,14 +218,15 @@
     fn candidates(&self, shard: &Shard, row: &JobRow) -> Vec<Candidate> {
         let usable = |k: &WorkerKey| {
             let w = self.s.workers.get(*k);
-            w.avoid <= self.plan.now && !w.cut
+            w.avoid_until <= self.plan.now && !w.unreachable
         };
         let fits = |c: &Candidate| row.spec.demand.fits(&c.free);
         let workers = shard.workers.iter().copied().filter(usable);
         let mut pool: Vec<_> = workers.map(|k| self.candidate(k, row)).filter(fits).collect();
-        let shunned = |c: &Candidate| row.shun.contains(&self.s.workers.get(c.key).info.name);
-        if row.class != Class::Gang && !pool.iter().all(shunned) {
-            pool.retain(|c| !shunned(c));
+        let failed_here =
+            |c: &Candidate| row.failed_on.contains(&self.s.workers.get(c.key).info.name);
+        if row.class != Class::Gang && !pool.iter().all(failed_here) {
+            pool.retain(|c| !failed_here(c));
         }
         pool
     }
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -20,7 +20,7 @@
     pub runners: Vec<RunnerAddr>,
     /// Limits and service time of every runner.
     #[serde(default)]
-    pub runner: RunnerKnobs,
+    pub runner: RunnerSettings,
 }
 
 /// Settings of the platform stand-in.
@@ -155,7 +155,7 @@
 /// Limits and service time of every runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RunnerKnobs {
+pub struct RunnerSettings {
     /// Maximum number of requests served at the same time.
     pub slots: u32,
     /// Maximum number of open connections.
@@ -164,7 +164,7 @@
     pub service_ms: u64,
 }
 
-impl Default for RunnerKnobs {
+impl Default for RunnerSettings {
     fn default() -> Self {
         Self { slots: 8, connections: 64, service_ms: 2 }
     }
--- a/src/runner/conn.rs
+++ b/src/runner/conn.rs
@@ -29,7 +29,7 @@
     }
 
     async fn handle(self: Arc<Self>, frame: Frame, tx: channel::Sender<Frame>) {
-        self.clock.sleep(self.knobs.service_ms).await;
+        self.clock.sleep(self.settings.service_ms).await;
         let answer = match frame {
             Frame::Lookup { id, key } => {
                 self.lookups.fetch_add(1, Ordering::Relaxed);
@@ -66,7 +66,8 @@
     /// caller that got a busy answer can send the write to another runner and it still runs at
     /// most once.
     fn accepts(&self, frame: &Frame, stopping: bool) -> bool {
-        let full = self.queued.load(Ordering::SeqCst) >= self.knobs.slots as usize * QUEUE_PER_SLOT;
+        let full =
+            self.queued.load(Ordering::SeqCst) >= self.settings.slots as usize * QUEUE_PER_SLOT;
         let open = !stopping && !full;
         let Frame::Write { write, .. } = frame else { return open };
         let mut writes = self.writes.lock().unwrap();
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -7,7 +7,7 @@
 use crate::admin;
 use crate::kernel::clock::Clock;
 use crate::kernel::stop::Stop;
-use crate::options::{RunnerAddr, RunnerKnobs};
+use crate::options::{RunnerAddr, RunnerSettings};
 use async_std::net::TcpListener;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
 pub struct Runner {
     /// Addresses, id and failure domain.
     pub addr: RunnerAddr,
-    knobs: RunnerKnobs,
+    settings: RunnerSettings,
     clock: Clock,
     slots: async_std::channel::Receiver<()>,
     slot_tx: async_std::channel::Sender<()>,
@@ -66,15 +66,15 @@
 }
 
 impl Runner {
-    /// A runner with `knobs.slots` free slots.
-    pub fn new(addr: RunnerAddr, knobs: RunnerKnobs, clock: Clock) -> Arc<Self> {
-        let (slot_tx, slots) = async_std::channel::bounded(knobs.slots as usize);
-        for _ in 0..knobs.slots {
+    /// A runner with `settings.slots` free slots.
+    pub fn new(addr: RunnerAddr, settings: RunnerSettings, clock: Clock) -> Arc<Self> {
+        let (slot_tx, slots) = async_std::channel::bounded(settings.slots as usize);
+        for _ in 0..settings.slots {
             let _ = slot_tx.try_send(());
         }
         Arc::new(Self {
             addr,
-            knobs,
+            settings,
             clock,
             slots,
             slot_tx,
@@ -136,7 +136,7 @@
             "role": "runner",
             "id": self.addr.id,
             "domain": self.addr.domain,
-            "knobs": self.knobs,
+            "knobs": self.settings,
             "in_flight": self.in_flight.load(Ordering::Relaxed),
             "stats": self.stats(),
         })
@@ -162,7 +162,7 @@
         loop {
             let Some(accepted) = stop.unless_fired(listener.accept()).await else { break };
             let (stream, _) = accepted?;
-            if self.open_conns.load(Ordering::SeqCst) >= self.knobs.connections as usize {
+            if self.open_conns.load(Ordering::SeqCst) >= self.settings.connections as usize {
                 metrics::counter!("runner_connections_refused").increment(1);
                 continue;
             }
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -11,7 +11,9 @@
 use crate::standin::instances::InstanceState;
 use crate::standin::store::Object;
 use crate::standin::table::{Feed, Outcome, Txn};
-use crate::standin::tasks::{RackRoom, ShardPoll, ShardReport, StartReq, StartResult, WorkerInfo};
+use crate::standin::tasks::{
+    RackCapacity, ShardPoll, ShardReport, StartReq, StartResult, WorkerInfo,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -209,7 +211,7 @@
     }
 
     /// Free capacity per rack of `domain`, from the workers' usage.
-    pub async fn rooms(&self, domain: &str) -> Result<Vec<RackRoom>, PlatformError> {
+    pub async fn rack_capacity(&self, domain: &str) -> Result<Vec<RackCapacity>, PlatformError> {
         self.fetch(&format!("/workers/rooms?domain={domain}")).await
     }
 
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -256,9 +256,9 @@
     }
 
     /// Free capacity per rack of a failure domain; `None` for an unknown domain.
-    pub fn rooms(&self, domain: &str) -> Option<Vec<tasks::RackRoom>> {
+    pub fn rack_capacity(&self, domain: &str) -> Option<Vec<tasks::RackCapacity>> {
         self.tick_all();
-        Some(self.domains.get(domain)?.lock().unwrap().rooms())
+        Some(self.domains.get(domain)?.lock().unwrap().rack_capacity())
     }
 
     /// The instance list as readers see it, after the configured lag.
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -132,17 +132,17 @@
     post(req, Target::Workers, |p, b: PollBatch| admin::json(200, &p.poll(&b.polls))).await
 }
 
-async fn rooms(req: Request<State>) -> tide::Result {
+async fn rack_capacity(req: Request<State>) -> tide::Result {
     #[derive(serde::Deserialize)]
     struct Query {
         domain: String,
     }
     let query: Query = req.query()?;
-    let rooms = |p: &Platform| match p.rooms(&query.domain) {
+    let answer = |p: &Platform| match p.rack_capacity(&query.domain) {
         Some(r) => admin::json(200, &r),
         None => error(404, "not_found", None),
     };
-    fetch(req, Target::Workers, rooms).await
+    fetch(req, Target::Workers, answer).await
 }
 
 async fn instances(req: Request<State>) -> tide::Result {
@@ -179,7 +179,7 @@
     app.at("/workers/start").post(start);
     app.at("/workers/stop").post(stop);
     app.at("/workers/poll").post(poll);
-    app.at("/workers/rooms").get(rooms);
+    app.at("/workers/rooms").get(rack_capacity);
     app.at("/instances").get(instances);
     app.at("/instances/:name").post(set_instance);
     app.at("/faults").post(add_faults);
--- a/src/standin/tasks.rs
+++ b/src/standin/tasks.rs
@@ -5,7 +5,7 @@
 use crate::kernel::res::Resources;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of ended tasks in one poll answer of a shard.
+/// Maximum number of completions in one poll answer of a shard.
 pub const ENDED_PAGE: usize = 500;
 
 /// The platform's description of one worker.
@@ -84,7 +84,7 @@
 /// How a task ended on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum EndKind {
     /// It completed its work.
     Done,
     /// It failed.
@@ -95,9 +95,9 @@
     Lapsed,
 }
 
-/// One task that ended on a worker.
+/// The completion of an attempt of a task on a worker, successful or not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct Completion {
     /// Sequence number within the shard.
     pub seq: u64,
     /// End of the task, platform ms; the report is sent after the usage lag.
@@ -109,7 +109,7 @@
     /// Worker name.
     pub worker: String,
     /// How the attempt ended.
-    pub how: How,
+    pub how: EndKind,
     /// Share of the work done and checkpointed, percent.
     pub saved: u8,
 }
@@ -136,17 +136,18 @@
     pub stale: bool,
     /// Platform time of the answer, ms.
     pub now: Millis,
-    /// Ended tasks not yet acknowledged, oldest first, at most [`ENDED_PAGE`].
-    pub ended: Vec<Ended>,
+    /// Completions not yet acknowledged, oldest first, at most [`ENDED_PAGE`].
+    pub ended: Vec<Completion>,
     /// Workers that could not be reached, whose task leases were not extended.
-    pub cut: Vec<String>,
+    #[serde(rename = "cut")]
+    pub unreachable: Vec<String>,
     /// Running tasks as (task, attempt, worker), if the poll requested an inventory.
     pub running: Vec<(String, u32, String)>,
 }
 
 /// Free capacity of one rack.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RackRoom {
+pub struct RackCapacity {
     /// Shard name.
     pub shard: String,
     /// Sum over the rack's workers.
--- a/src/standin/workers.rs
+++ b/src/standin/workers.rs
@@ -7,8 +7,8 @@
 use crate::kernel::res::Resources;
 use crate::standin::faults::Affected;
 use crate::standin::tasks::{
-    shard_of, Ended, How, RackRoom, ShardPoll, ShardReport, StartRefusal, StartReq, WorkerInfo,
-    ENDED_PAGE,
+    shard_of, Completion, EndKind, RackCapacity, ShardPoll, ShardReport, StartRefusal, StartReq,
+    WorkerInfo, ENDED_PAGE,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -44,7 +44,7 @@
     cut: bool,
     lease_until: Option<Millis>,
     latest_attempt: BTreeMap<String, u32>,
-    backlog: Vec<Ended>,
+    backlog: Vec<Completion>,
 }
 
 impl Worker {
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 struct Reports {
     seq: u64,
-    ended: VecDeque<Ended>,
+    ended: VecDeque<Completion>,
 }
 
 /// The workers of one failure domain, with counters of broken invariants that tests read.
@@ -132,7 +132,7 @@
             // A lease that expired before the end of the run killed the task at that time.
             match self.arena.get(k).lease_until {
                 Some(h) if h < at => self.expire_lease(k, h),
-                _ => self.finish(k, &task, at, How::Done),
+                _ => self.finish(k, &task, at, EndKind::Done),
             }
         }
         let expired: Vec<(WorkerKey, Millis)> = self
@@ -147,10 +147,10 @@
     fn expire_lease(&mut self, k: WorkerKey, at: Millis) {
         let tasks: Vec<String> = self.arena.get(k).running.keys().cloned().collect();
         self.lapsed += tasks.len() as u64;
-        tasks.iter().for_each(|t| self.finish(k, t, at, How::Lapsed));
+        tasks.iter().for_each(|t| self.finish(k, t, at, EndKind::Lapsed));
     }
 
-    fn finish(&mut self, k: WorkerKey, task: &str, at: Millis, how: How) {
+    fn finish(&mut self, k: WorkerKey, task: &str, at: Millis, how: EndKind) {
         let w = self.arena.get_mut(k);
         let Some(run) = w.running.remove(task) else { return };
         if let Some(end) = run.end {
@@ -160,16 +160,16 @@
         self.tasks.remove(task);
         let poisoned = self.poison.iter().any(|j| task.starts_with(j));
         let how = match how {
-            How::Done if w.broken || poisoned => How::Failed,
+            EndKind::Done if w.broken || poisoned => EndKind::Failed,
             other => other,
         };
         let saved = match how {
-            How::Done => 100,
-            How::Failed => 0,
-            How::Stopped => run.progress(at),
-            How::Lapsed => run.saved,
+            EndKind::Done => 100,
+            EndKind::Failed => 0,
+            EndKind::Stopped => run.progress(at),
+            EndKind::Lapsed => run.saved,
         };
-        let ended = Ended {
+        let ended = Completion {
             seq: 0,
             at,
             task: task.to_string(),
@@ -237,9 +237,9 @@
         None
     }
 
-    /// Stops attempt `attempt` of a task after a checkpoint; false if the worker cannot be
-    /// reached. [`How::Stopped`] is reported even if the start order of the attempt never arrived;
-    /// a start order that arrives later is refused.
+    /// Stops attempt `attempt` of a task after a checkpoint; false if the worker cannot be reached.
+    /// [`EndKind::Stopped`] is reported even if the start order of the attempt never arrived; a
+    /// start order that arrives later is refused.
     pub fn stop(&mut self, task: &str, attempt: u32, worker: &str, now: Millis) -> bool {
         let Some(&k) = self.names.get(worker) else { return false };
         let w = self.arena.get_mut(k);
@@ -247,16 +247,16 @@
             return false;
         }
         if w.running.get(task).is_some_and(|r| r.attempt == attempt) {
-            self.finish(k, task, now, How::Stopped);
+            self.finish(k, task, now, EndKind::Stopped);
         } else if w.latest_attempt.get(task).is_none_or(|&a| a < attempt) {
             w.latest_attempt.insert(task.to_string(), attempt);
-            let unstarted = Ended {
+            let unstarted = Completion {
                 seq: 0,
                 at: now,
                 task: task.to_string(),
                 attempt,
                 worker: worker.to_string(),
-                how: How::Stopped,
+                how: EndKind::Stopped,
                 saved: 0,
             };
             let shard = shard_of(&w.info);
@@ -271,7 +271,7 @@
         let mut out = ShardReport { now, ..ShardReport::default() };
         for (_, w) in self.arena.iter_mut().filter(|(_, w)| shard_of(&w.info) == p.shard) {
             if w.cut {
-                out.cut.push(w.info.name.clone());
+                out.unreachable.push(w.info.name.clone());
                 continue;
             }
             w.extend(now + p.hold_ms);
@@ -300,12 +300,12 @@
     }
 
     /// Free capacity per rack of the reachable workers.
-    pub fn rooms(&self) -> Vec<RackRoom> {
-        let mut racks: BTreeMap<String, RackRoom> = BTreeMap::new();
+    pub fn rack_capacity(&self) -> Vec<RackCapacity> {
+        let mut racks: BTreeMap<String, RackCapacity> = BTreeMap::new();
         for (_, w) in self.arena.iter().filter(|(_, w)| !w.cut) {
             let free = w.info.cap.sub(&w.used);
             let shard = shard_of(&w.info);
-            let r = racks.entry(shard.clone()).or_insert(RackRoom {
+            let r = racks.entry(shard.clone()).or_insert(RackCapacity {
                 shard,
                 free: Resources::ZERO,
                 largest: Resources::ZERO,
@@ -333,7 +333,7 @@
 }
 
 impl Reports {
-    fn push(&mut self, mut e: Ended) {
+    fn push(&mut self, mut e: Completion) {
         self.seq += 1;
         e.seq = self.seq;
         self.ended.push_back(e);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use currantgw::kernel::res::Resources;
 use currantgw::kernel::stop::{self, Trigger};
 use currantgw::options::{
-    Cell, DomainSpec, EntryAddr, PlatformSettings, RunnerAddr, RunnerKnobs, Timing,
+    Cell, DomainSpec, EntryAddr, PlatformSettings, RunnerAddr, RunnerSettings, Timing,
 };
 use currantgw::runner::Runner;
 use currantgw::standin::Platform;
@@ -69,7 +69,7 @@
                 admin: free_addr(),
             })
             .collect(),
-        runner: RunnerKnobs { slots: 8, connections: 64, service_ms: 1 },
+        runner: RunnerSettings { slots: 8, connections: 64, service_ms: 1 },
     }
 }
 
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -7,7 +7,7 @@
 use currantgw::options::{DomainSpec, PlatformSettings};
 use currantgw::standin::api::StopReq;
 use currantgw::standin::table::{Cond, Op, Outcome, Txn};
-use currantgw::standin::tasks::{How, ShardPoll, StartRefusal, StartReq};
+use currantgw::standin::tasks::{EndKind, ShardPoll, StartRefusal, StartReq};
 use currantgw::standin::{place_key, PlaceRow, Platform};
 use serde_json::json;
 
@@ -143,7 +143,7 @@
     assert_eq!(p.start(&[start("a-r0-w0", e1)])[0].refused, None);
     p.stop(&[StopReq { task: "j1.0".into(), attempt: 1, worker: "a-r0-w0".into() }]);
     let reported = poll(e1, 0).ended;
-    assert_eq!((reported.len(), reported[0].attempt, reported[0].how), (1, 1, How::Stopped));
+    assert_eq!((reported.len(), reported[0].attempt, reported[0].how), (1, 1, EndKind::Stopped));
     clock.advance(1500);
     let e2 = acquire(&p, "B").unwrap();
     assert!(poll(e1, reported[0].seq).stale, "a superseded holder cannot acknowledge");
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -92,7 +92,7 @@
 /// first submission would be answered 503 while the platform is slow to answer (paused here; a busy
 /// machine has the same effect).
 #[async_std::test]
-async fn entry_is_not_ready_before_it_takes_submissions() {
+async fn entry_is_not_ready_before_it_accepts_submissions() {
     let mut p = started(2, 1, 1).await;
     p.signal("entry-1", "KILL");
     p.signal("platform", "STOP");
@@ -112,7 +112,7 @@
 /// entry takes its shards over, and the first one resumes (SIGCONT) with placements and start
 /// orders in progress. If it relied on its expired lease, a task would run on two workers at once.
 #[async_std::test]
-async fn paused_entry_wakes_and_doubles_nothing() {
+async fn resumed_entry_starts_no_task_twice() {
     let p = started(2, 1, 1).await;
     let mut keys = Vec::new();
     for i in 0..60 {
@@ -141,7 +141,7 @@
 /// runner connections or its listener first, callers would get broken answers whenever an entry is
 /// replaced.
 #[async_std::test]
-async fn entry_told_to_stop_finishes_requests_in_flight() {
+async fn entry_shut_down_finishes_requests_in_flight() {
     let mut p = started(2, 2, 300).await;
     let base = p.url(0);
     let body = serde_json::json!({ "id": "split-term", "body": "x" });
@@ -171,7 +171,7 @@
 /// They would fail if the runner dropped its connections, or if the entry sent requests to it until
 /// the instance list, which lags, shows the change; the runner therefore announces its shutdown.
 #[async_std::test]
-async fn runner_told_to_stop_cuts_no_lookup() {
+async fn runner_shut_down_fails_no_lookup() {
     let mut p = started(1, 2, 200).await;
     let base = p.url(0);
     let lookups: Vec<_> = (0..40)
