--- a/src/cli.rs
+++ b/src/cli.rs
@@ -318,7 +318,7 @@
     let report = crate::smoke::run(cell, &options).await?;
     println!("{}", serde_json::to_string_pretty(&report)?);
     if !report.invariants_hold() {
-        eyre::bail!("a promise was broken: see the report");
+        eyre::bail!("an invariant was violated: see the report");
     }
     Ok(())
 }
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -200,16 +200,16 @@
 
 async fn lookup(req: Request<State>) -> tide::Result {
     #[derive(Deserialize)]
-    struct Q {
+    struct Query {
         key: String,
     }
-    let q: Q = match req.query() {
-        Ok(q) => q,
+    let query: Query = match req.query() {
+        Ok(query) => query,
         Err(e) => return Ok(fail(400, "bad_request", e, None)),
     };
     let e = req.state().clone();
     let started = e.clock.now();
-    let out = e.pool.lookup(&q.key).await;
+    let out = e.pool.lookup(&query.key).await;
     metrics::histogram!("entry_lookup_seconds").record((e.clock.now() - started) as f64 / 1000.0);
     Ok(match out {
         Ok(a) => admin::json(200, &a),
--- a/src/entry/ledger.rs
+++ b/src/entry/ledger.rs
@@ -40,7 +40,7 @@
     /// The record was committed; its row has this version.
     Recorded(u64),
     /// The row had another version than expected: its content and version.
-    Other(Box<WriteRow>, u64),
+    VersionMismatch(Box<WriteRow>, u64),
 }
 
 type Reply = Result<RecordResult, LedgerError>;
@@ -50,7 +50,7 @@
     id: String,
     row: WriteRow,
     /// Expected version of the row; 0 if it must not exist.
-    expect: u64,
+    expected_version: u64,
     /// Receiver of the result; none for the outcome of a write.
     reply: Option<oneshot::Sender<Reply>>,
 }
@@ -93,19 +93,19 @@
         })
     }
 
-    /// Commits `row` for write `id` if the stored row has version `expect`; 0 if there must be
-    /// none.
-    pub async fn record(&self, id: &str, row: WriteRow, expect: u64) -> Reply {
+    /// Commits `row` for write `id` if the stored row has version `expected_version`; 0 if there
+    /// must be none.
+    pub async fn record(&self, id: &str, row: WriteRow, expected_version: u64) -> Reply {
         let (reply, result) = oneshot::channel();
-        let record = Record { id: id.to_string(), row, expect, reply: Some(reply) };
+        let record = Record { id: id.to_string(), row, expected_version, reply: Some(reply) };
         self.tx.try_send(record).map_err(|_| LedgerError::Full)?;
         result.await.unwrap_or(Err(LedgerError::Stopping))
     }
 
     /// Queues the outcome of a write for the next commit. If it is lost, a repeat of the write
     /// costs one query to the runner.
-    pub fn record_outcome(&self, id: &str, row: WriteRow, expect: u64) {
-        let _ = self.tx.try_send(Record { id: id.to_string(), row, expect, reply: None });
+    pub fn record_outcome(&self, id: &str, row: WriteRow, expected_version: u64) {
+        let _ = self.tx.try_send(Record { id: id.to_string(), row, expected_version, reply: None });
     }
 
     /// Commits groups of records until `stop`, then the records that still wait.
@@ -145,7 +145,7 @@
             Ok(Outcome::Committed { versions, .. }) => {
                 for e in group {
                     let version = versions.get(&rows::write_key(&e.id)).copied();
-                    let version = version.unwrap_or(e.expect + 1);
+                    let version = version.unwrap_or(e.expected_version + 1);
                     e.answer(Ok(RecordResult::Recorded(version)));
                 }
                 Vec::new()
@@ -167,12 +167,12 @@
         let now = self.clock.now();
         let conds = group
             .iter()
-            .map(|e| Cond::Version { key: rows::write_key(&e.id), version: e.expect })
+            .map(|e| Cond::Version { key: rows::write_key(&e.id), version: e.expected_version })
             .collect();
         let mut ops = Vec::with_capacity(group.len() * 2);
         for e in group {
             ops.push(Op::Put { key: rows::write_key(&e.id), value: rows::encode(&e.row) });
-            if e.expect == 0 {
+            if e.expected_version == 0 {
                 ops.push(rows::put_marker(rows::wrote_key(&self.domain, now, &e.id)));
             }
         }
@@ -182,7 +182,8 @@
     /// Reads the stored row of write `id` after a conflict.
     async fn read(&self, id: &str) -> Reply {
         let row = rows::read::<WriteRow>(&self.table, rows::write_key(id)).await?;
-        row.map(|(row, v)| RecordResult::Other(Box::new(row), v)).ok_or(LedgerError::Stopping)
+        row.map(|(row, v)| RecordResult::VersionMismatch(Box::new(row), v))
+            .ok_or(LedgerError::Stopping)
     }
 }
 
--- a/src/entry/route/link.rs
+++ b/src/entry/route/link.rs
@@ -60,7 +60,7 @@
 
 /// A runner and its connection.
 #[derive(Debug)]
-pub(super) struct Slot {
+pub(super) struct PooledRunner {
     pub addr: RunnerAddr,
     pub link: Mutex<Link>,
 }
@@ -153,7 +153,7 @@
         let runner = self.runners.get(k);
         let last_frame = runner.link.lock().unwrap().last_frame;
         if self.clock.now().saturating_sub(last_frame) >= self.timing.idle_ms {
-            self.counts.silent.fetch_add(1, Ordering::Relaxed);
+            self.counts.unresponsive.fetch_add(1, Ordering::Relaxed);
             log::warn!("runner {} connection unresponsive, closed", runner.addr.id);
             return Next::Close;
         }
--- a/src/entry/route/mod.rs
+++ b/src/entry/route/mod.rs
@@ -80,14 +80,15 @@
     /// Second and later attempts of lookups.
     pub hedged: AtomicU64,
     /// Connections closed because no frame arrived for `idle_ms`.
-    pub silent: AtomicU64,
+    #[serde(rename = "silent")]
+    pub unresponsive: AtomicU64,
     /// Bytes of frames received.
     pub received: AtomicU64,
 }
 
 /// Connections to all runners of the cell.
 pub struct Pool {
-    runners: Arena<RunnerKey, link::Slot>,
+    runners: Arena<RunnerKey, link::PooledRunner>,
     domain: String,
     timing: Timing,
     clock: Clock,
@@ -105,7 +106,7 @@
     pub fn new(runners: &[RunnerAddr], domain: &str, timing: Timing, clock: Clock) -> Arc<Self> {
         let mut arena = Arena::default();
         for r in runners {
-            arena.push(link::Slot { addr: r.clone(), link: Mutex::default() });
+            arena.push(link::PooledRunner { addr: r.clone(), link: Mutex::default() });
         }
         Arc::new(Self {
             runners: arena,
@@ -145,7 +146,7 @@
     /// preferred, then those with the fewest requests in flight.
     pub fn pick(&self, skip: &[RunnerKey]) -> Option<RunnerKey> {
         let now = self.clock.now();
-        let rank = |k: RunnerKey, r: &link::Slot| {
+        let rank = |k: RunnerKey, r: &link::PooledRunner| {
             let l = r.link.lock().unwrap();
             let ok = l.accepts_requests(now) && l.pending.len() < MAX_IN_FLIGHT;
             ok.then(|| ((r.addr.domain != self.domain, l.pending.len()), k))
@@ -167,7 +168,7 @@
 
     /// Returns the connected runner `id` if it still has this `incarnation`.
     pub fn find(&self, id: &str, incarnation: u64) -> Option<RunnerKey> {
-        let matches = |r: &link::Slot| {
+        let matches = |r: &link::PooledRunner| {
             r.addr.id == id && r.link.lock().unwrap().incarnation == Some(incarnation)
         };
         self.runners.iter().find(|(_, r)| matches(r)).map(|(k, _)| k)
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -21,13 +21,13 @@
 const REREAD_ROUNDS: u64 = 5;
 
 /// Result of a commit.
-pub(super) enum Verdict {
+pub(super) enum CommitResult {
     /// The plan was committed, or there was nothing to commit.
     Done,
     /// A row had changed; the caller must read it again and make a new plan.
-    Again,
+    Conflict,
     /// The lease of this shard was lost.
-    Lost(String),
+    LeaseLost(String),
 }
 
 impl Sched {
@@ -36,10 +36,10 @@
         &mut self,
         cx: &Ctx<'_>,
         plan: Plan,
-    ) -> Result<Verdict, PlatformError> {
-        if !plan.writes() {
+    ) -> Result<CommitResult, PlatformError> {
+        if !plan.has_writes() {
             self.apply_committed(cx, plan, &BTreeMap::new());
-            return Ok(Verdict::Done);
+            return Ok(CommitResult::Done);
         }
         self.seq += 1;
         let txn = self.transaction(cx, &plan);
@@ -48,7 +48,7 @@
                 self.counts.commits += 1;
                 metrics::counter!("entry_tasks_placed").increment(plan.counts.placed);
                 self.apply_committed(cx, plan, &versions);
-                Ok(Verdict::Done)
+                Ok(CommitResult::Done)
             }
             Ok(Outcome::Conflict { key, .. }) => {
                 self.counts.conflicts += 1;
@@ -107,9 +107,9 @@
     }
 
     /// Drops the cached row that a conflict at `key` showed to be stale.
-    fn drop_stale(&mut self, cx: &Ctx<'_>, key: &str) -> Verdict {
+    fn drop_stale(&mut self, cx: &Ctx<'_>, key: &str) -> CommitResult {
         if let Some(shard) = key.strip_prefix(LEASE_PREFIX) {
-            return Verdict::Lost(shard.to_string());
+            return CommitResult::LeaseLost(shard.to_string());
         }
         if let Some(id) = key.strip_prefix(rows::JOB_PREFIX) {
             self.jobs.remove(id);
@@ -117,14 +117,14 @@
         if let Some(team) = key.strip_prefix(&rows::quota_prefix(cx.domain)) {
             self.quotas.remove(team);
         }
-        Verdict::Again
+        CommitResult::Conflict
     }
 
     /// Applies a committed plan to the caches and queues its orders.
     fn apply_committed(&mut self, cx: &Ctx<'_>, plan: Plan, versions: &BTreeMap<String, u64>) {
         let version = |key: String, old: u64| versions.get(&key).copied().unwrap_or(old + 1);
-        for (k, row) in plan.commits {
-            self.workers.get_mut(k).commit = row;
+        for (k, commitments) in plan.commitments {
+            self.workers.get_mut(k).commitments = commitments;
         }
         for (id, row) in plan.jobs {
             let old = self.jobs.get(&id).map_or(0, |c| c.version);
--- a/src/entry/sched/completions.rs
+++ b/src/entry/sched/completions.rs
@@ -18,7 +18,7 @@
 
 /// Margin for clock drift and message delay before the task leases of an unreachable worker count
 /// as expired, ms, in addition to a twentieth of the lease.
-const LAPSE_MARGIN_MS: Millis = 1_000;
+const LEASE_EXPIRY_MARGIN_MS: Millis = 1_000;
 
 impl Draft<'_> {
     /// Applies the completions that the workers of a shard reported.
@@ -97,17 +97,17 @@
     /// has expired (see [`super::orders`]), so they can be placed again and run in one place only.
     pub fn mark_lost(&mut self, name: &str, epoch: u64, shard: &Shard) {
         let hold = self.cx.hold_ms;
-        let lost_after = hold + hold / 20 + LAPSE_MARGIN_MS;
+        let lost_after = hold + hold / 20 + LEASE_EXPIRY_MARGIN_MS;
         for &k in &shard.workers {
             let w = self.s.workers.get(k);
             if !w.unreachable
                 || self.plan.now < w.last_contact + lost_after
-                || self.commit(k).tasks.is_empty()
+                || self.commitments(k).tasks.is_empty()
             {
                 continue;
             }
             log::warn!("worker {} lost: unreachable for over {lost_after} ms", w.info.name);
-            let tasks: Vec<String> = self.commit(k).tasks.keys().cloned().collect();
+            let tasks: Vec<String> = self.commitments(k).tasks.keys().cloned().collect();
             for task in tasks {
                 self.release(name, epoch, k, &task);
                 let Some((id, n)) = rows::task_parts(&task) else { continue };
@@ -134,7 +134,7 @@
     ) {
         for &k in &shard.workers {
             let worker = self.s.workers.get(k).info.name.clone();
-            let tasks: Vec<String> = self.commit(k).tasks.keys().cloned().collect();
+            let tasks: Vec<String> = self.commitments(k).tasks.keys().cloned().collect();
             for task in tasks {
                 let Some((id, n)) = rows::task_parts(&task) else { continue };
                 let Some(row) = self.job(id) else {
--- a/src/entry/sched/gc.rs
+++ b/src/entry/sched/gc.rs
@@ -76,8 +76,9 @@
             serde_json::json!({ "shard": shard, "jobs": jobs.values().collect::<Vec<_>>() });
         let name = format!("report-{shard}-{:015}", self.before);
         self.platform.put_object(&name, report.to_string()).await?;
-        let gone = expired.into_iter().map(|(key, _)| key).chain(jobs.into_keys()).collect();
-        self.remove(shard, epoch, gone).await
+        let expired_keys =
+            expired.into_iter().map(|(key, _)| key).chain(jobs.into_keys()).collect();
+        self.remove(shard, epoch, expired_keys).await
     }
 
     /// Removes the old write records of the domain under the lease of `shard`, and returns the
@@ -87,7 +88,8 @@
         if expired.is_empty() {
             return Ok(0);
         }
-        let gone = expired.into_iter().flat_map(|(key, id)| [key, rows::write_key(&id)]).collect();
-        self.remove(shard, epoch, gone).await
+        let expired_keys =
+            expired.into_iter().flat_map(|(key, id)| [key, rows::write_key(&id)]).collect();
+        self.remove(shard, epoch, expired_keys).await
     }
 }
--- a/src/entry/sched/load.rs
+++ b/src/entry/sched/load.rs
@@ -1,7 +1,7 @@
 //! Reads the inputs of a round: polls of the workers, pending-job entries, job rows, and the
 //! placement rows of a newly acquired shard.
 
-use super::{Cached, Commit, Ctx, Sched};
+use super::{Cached, Commitments, Ctx, Sched};
 use crate::entry::rows::{self, JobRow};
 use crate::standin::client::PlatformError;
 use crate::standin::tasks::ShardPoll;
@@ -120,14 +120,14 @@
             let rows = cx.platform.scan(&prefix).await?;
             let Some(s) = self.shards.get_mut(name) else { continue };
             for &k in &s.workers {
-                self.workers.get_mut(k).commit = Commit::default();
+                self.workers.get_mut(k).commitments = Commitments::default();
             }
             s.loaded = Some(epoch);
             for (key, r) in rows {
                 let Some(task) = key.strip_prefix(&prefix) else { continue };
                 let Some(place) = rows::decode::<PlaceRow>(&r.value) else { continue };
                 if let Some(&k) = self.names.get(&place.worker) {
-                    self.workers.get_mut(k).commit.add(task, place.demand);
+                    self.workers.get_mut(k).commitments.add(task, place.demand);
                 }
             }
         }
@@ -140,16 +140,17 @@
         cx: &Ctx<'_>,
         live: &BTreeMap<String, u64>,
     ) -> Result<(), PlatformError> {
-        let mut want: BTreeSet<String> = BTreeSet::new();
+        let mut needed: BTreeSet<String> = BTreeSet::new();
         for name in live.keys() {
-            want.extend(self.pending.get(name).into_iter().flat_map(|m| m.keys().cloned()));
+            needed.extend(self.pending.get(name).into_iter().flat_map(|m| m.keys().cloned()));
             let Some(s) = self.shards.get(name) else { continue };
             let ended = s.ended.iter().map(|e| &e.task);
-            let committed = s.workers.iter().flat_map(|&k| self.workers.get(k).commit.tasks.keys());
+            let committed =
+                s.workers.iter().flat_map(|&k| self.workers.get(k).commitments.tasks.keys());
             let tasks = ended.chain(committed);
-            want.extend(tasks.filter_map(|t| Some(rows::task_parts(t)?.0.to_string())));
+            needed.extend(tasks.filter_map(|t| Some(rows::task_parts(t)?.0.to_string())));
         }
-        let keys: Vec<String> = want
+        let keys: Vec<String> = needed
             .iter()
             .filter(|id| !self.jobs.contains_key(*id))
             .map(|id| rows::job_key(id))
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -45,14 +45,14 @@
 /// The resources committed on one worker: the sum of its placement rows. Only the shard's holder
 /// changes them, under its lease, so the sum needs no row of its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Commit {
+pub struct Commitments {
     /// Sum of the declared resources of all tasks.
     pub used: Resources,
     /// Declared resources by task id.
     pub tasks: BTreeMap<String, Resources>,
 }
 
-impl Commit {
+impl Commitments {
     /// Adds a task; a task that is already committed stays as it is.
     pub fn add(&mut self, task: &str, r: Resources) {
         if self.tasks.insert(task.to_string(), r).is_none() {
@@ -74,7 +74,8 @@
     /// Name, rack and capacity from the platform's worker list.
     pub info: WorkerInfo,
     /// Commitments as last read or written by this instance.
-    pub commit: Commit,
+    #[serde(rename = "commit")]
+    pub commitments: Commitments,
     /// Tasks that failed here, of jobs that have failed on no other worker so far.
     #[serde(rename = "blame")]
     pub failures: BTreeSet<String>,
@@ -141,7 +142,8 @@
     /// Batch tasks preempted by urgent work.
     pub preempted: u64,
     /// Jobs moved to another shard.
-    pub spilled: u64,
+    #[serde(rename = "spilled")]
+    pub migrated: u64,
     /// Times that a job had to wait in a round for its team's quota.
     pub over_quota: u64,
     /// Jobs refused before any task was placed.
@@ -157,7 +159,7 @@
         self.failed += o.failed;
         self.lost += o.lost;
         self.preempted += o.preempted;
-        self.spilled += o.spilled;
+        self.migrated += o.migrated;
         self.over_quota += o.over_quota;
         self.refused += o.refused;
         self.recovered += o.recovered;
@@ -237,7 +239,7 @@
         for info in all.iter().filter(|w| w.domain == domain) {
             let view = WorkerView {
                 info: info.clone(),
-                commit: Commit::default(),
+                commitments: Commitments::default(),
                 failures: BTreeSet::new(),
                 avoid_until: 0,
                 last_contact: 0,
@@ -304,9 +306,9 @@
             self.read_quotas(cx, &live).await?;
             let plan = self.plan(cx, &live);
             match self.commit(cx, plan).await? {
-                commit::Verdict::Done => break,
-                commit::Verdict::Again => continue,
-                commit::Verdict::Lost(shard) => {
+                commit::CommitResult::Done => break,
+                commit::CommitResult::Conflict => continue,
+                commit::CommitResult::LeaseLost(shard) => {
                     result.lost.push(shard);
                     return Ok(result);
                 }
@@ -326,7 +328,7 @@
                 || !(s.unstarted.is_empty() && s.stopping.is_empty() && s.ended.is_empty())
             {
                 Activity::Busy
-            } else if s.workers.iter().any(|&k| !self.workers.get(k).commit.tasks.is_empty()) {
+            } else if s.workers.iter().any(|&k| !self.workers.get(k).commitments.tasks.is_empty()) {
                 Activity::Running
             } else {
                 Activity::Idle
@@ -341,7 +343,7 @@
         let committed: BTreeSet<&str> = self
             .workers
             .iter()
-            .flat_map(|(_, w)| w.commit.tasks.keys())
+            .flat_map(|(_, w)| w.commitments.tasks.keys())
             .filter_map(|t| Some(crate::entry::rows::task_parts(t)?.0))
             .collect();
         let pending = &self.pending;
--- a/src/entry/sched/orders.rs
+++ b/src/entry/sched/orders.rs
@@ -28,19 +28,19 @@
         // An order is valid for half a task lease from the last poll, and none is sent to a worker
         // that this poll did not reach. The last order has therefore expired before the worker is
         // considered lost, and cannot start a task that was placed again elsewhere.
-        let by = self.polled + cx.hold_ms / 2;
+        let valid_until = self.polled + cx.hold_ms / 2;
         let reached = |r: &&StartReq| {
             self.names.get(&r.worker).is_some_and(|&k| !self.workers.get(k).unreachable)
         };
         let orders = self.shards.values().flat_map(|s| s.unstarted.values());
         let batch: Vec<StartReq> =
-            orders.filter(reached).map(|r| StartReq { by, ..r.clone() }).collect();
+            orders.filter(reached).map(|r| StartReq { valid_until, ..r.clone() }).collect();
         if batch.is_empty() {
             return Ok(Vec::new());
         }
-        let sent = cx.platform.start(batch.clone()).await;
+        let answers = cx.platform.start(batch.clone()).await;
         let now = cx.clock.now();
-        if sent.is_err() {
+        if answers.is_err() {
             // The starts may have taken effect, and with them the task leases that they carry.
             for req in &batch {
                 if let Some(&k) = self.names.get(&req.worker) {
@@ -49,7 +49,7 @@
             }
         }
         let mut lost = BTreeSet::new();
-        for (req, answer) in batch.iter().zip(sent?) {
+        for (req, answer) in batch.iter().zip(answers?) {
             self.handle_answer(req, &answer, &mut lost);
         }
         Ok(lost.into_iter().collect())
--- a/src/entry/sched/plan.rs
+++ b/src/entry/sched/plan.rs
@@ -2,7 +2,7 @@
 //! cached rows and the workers' reports. The state of the scheduler does not change until the plan
 //! is committed, so a plan that meets a conflict is dropped.
 
-use super::{Commit, Counts, Ctx, Sched};
+use super::{Commitments, Counts, Ctx, Sched};
 use crate::entry::rows::{JobRow, JobState, QuotaRow, TaskState};
 use crate::kernel::arena::WorkerKey;
 use crate::kernel::clock::Millis;
@@ -35,7 +35,7 @@
     /// Shards that the plan changes, with the epoch that fences the commit.
     pub leases: BTreeMap<String, u64>,
     /// New commitments of the workers that the plan changes.
-    pub commits: BTreeMap<WorkerKey, Commit>,
+    pub commitments: BTreeMap<WorkerKey, Commitments>,
     /// New job rows, by job id.
     pub jobs: BTreeMap<String, JobRow>,
     /// New quota rows, by team.
@@ -66,7 +66,7 @@
 
 impl Plan {
     /// Returns whether the plan has rows to write.
-    pub fn writes(&self) -> bool {
+    pub fn has_writes(&self) -> bool {
         !self.places.is_empty()
             || !self.jobs.is_empty()
             || !self.quotas.is_empty()
@@ -128,21 +128,21 @@
     }
 
     /// Returns the commitments of a worker, with the changes of the plan.
-    pub fn commit(&self, k: WorkerKey) -> &Commit {
-        self.plan.commits.get(&k).unwrap_or(&self.s.workers.get(k).commit)
+    pub fn commitments(&self, k: WorkerKey) -> &Commitments {
+        self.plan.commitments.get(&k).unwrap_or(&self.s.workers.get(k).commitments)
     }
 
     /// Returns the commitments of a worker for changes within the plan.
-    pub fn commit_mut(&mut self, k: WorkerKey) -> &mut Commit {
+    pub fn commitments_mut(&mut self, k: WorkerKey) -> &mut Commitments {
         self.used.get_mut().clear();
         let s = self.s;
-        self.plan.commits.entry(k).or_insert_with(|| s.workers.get(k).commit.clone())
+        self.plan.commitments.entry(k).or_insert_with(|| s.workers.get(k).commitments.clone())
     }
 
     /// Releases the commitment and the placement row of a task on worker `k`.
     pub fn release(&mut self, shard: &str, epoch: u64, k: WorkerKey, task: &str) {
-        if self.commit(k).tasks.contains_key(task) {
-            self.commit_mut(k).remove(task);
+        if self.commitments(k).tasks.contains_key(task) {
+            self.commitments_mut(k).remove(task);
             self.plan.places.insert((shard.to_string(), task.to_string()), None);
             self.plan.leases.insert(shard.to_string(), epoch);
         }
@@ -181,7 +181,7 @@
             demand: row.spec.demand,
             run_ms: row.spec.run_ms,
             saved: t.saved,
-            by: 0,
+            valid_until: 0,
             hold_ms,
         };
         let (worker, attempt, demand) = (worker.to_string(), t.attempt, row.spec.demand);
@@ -198,7 +198,7 @@
         self.plan.leases.insert(from.to_string(), epoch);
         self.plan.pending.insert((from.to_string(), id.to_string()), false);
         self.plan.pending.insert((to.to_string(), id.to_string()), true);
-        self.plan.counts.spilled += 1;
+        self.plan.counts.migrated += 1;
     }
 }
 
--- a/src/entry/sched/preempt.rs
+++ b/src/entry/sched/preempt.rs
@@ -48,15 +48,15 @@
         if w.unreachable || w.avoid_until > self.plan.now {
             return None;
         }
-        let commit = self.commit(k);
-        let mut free = w.info.cap.sub(&commit.used);
+        let commitments = self.commitments(k);
+        let mut free = w.info.cap.sub(&commitments.used);
         let stops_already = |task: &str| {
             shard.stopping.contains_key(task)
                 || self.plan.stops.iter().any(|(s, r)| s == name && r.task == *task)
         };
-        let stopping_tasks = commit.tasks.iter().filter(|(t, _)| stops_already(t));
+        let stopping_tasks = commitments.tasks.iter().filter(|(t, _)| stops_already(t));
         free = stopping_tasks.fold(free, |sum, (_, r)| sum.add(r));
-        let mut batch: Vec<(&String, &Resources, StopReq)> = commit
+        let mut batch: Vec<(&String, &Resources, StopReq)> = commitments
             .tasks
             .iter()
             .filter(|(t, _)| !stops_already(t))
--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -90,7 +90,7 @@
     /// Computes the value of [`Self::team_used`] without the cache.
     fn sum_used(&self, shard: &str, team: &str) -> Resources {
         let Some(s) = self.s.shards.get(shard) else { return Resources::ZERO };
-        let tasks = s.workers.iter().flat_map(|&k| self.commit(k).tasks.iter());
+        let tasks = s.workers.iter().flat_map(|&k| self.commitments(k).tasks.iter());
         let of_team = |task: &str| {
             let job = rows::task_parts(task).and_then(|(id, _)| self.job(id));
             job.is_some_and(|j| j.team == team)
--- a/src/entry/sched/serve.rs
+++ b/src/entry/sched/serve.rs
@@ -86,7 +86,7 @@
             let task = row.task_id(n);
             let Some(worker) = &t.worker else { continue };
             let Some(&k) = self.s.names.get(worker) else { continue };
-            if self.commit(k).tasks.contains_key(&task) {
+            if self.commitments(k).tasks.contains_key(&task) {
                 stops.push(StopReq { task, attempt: t.attempt, worker: worker.clone() });
             }
         }
@@ -233,14 +233,16 @@
 
     /// Describes worker `key` to the placement policy as a candidate for a task of `row`.
     fn candidate(&self, key: WorkerKey, row: &JobRow) -> Candidate {
-        let (w, commit) = (self.s.workers.get(key), self.commit(key));
+        let (w, commitments) = (self.s.workers.get(key), self.commitments(key));
         let own = format!("{}.", row.id);
         let same_job = match row.class {
-            Class::Service => commit.tasks.keys().filter(|t| t.starts_with(&own)).count() as u32,
+            Class::Service => {
+                commitments.tasks.keys().filter(|t| t.starts_with(&own)).count() as u32
+            }
             Class::Urgent | Class::Batch | Class::Gang => 0,
         };
         let (rack, cap) = (w.info.rack, w.info.cap);
-        Candidate { key, rack, free: cap.sub(&commit.used), cap, same_job }
+        Candidate { key, rack, free: cap.sub(&commitments.used), cap, same_job }
     }
 
     /// Places task `n` of job `id` on worker `k` and orders its start.
@@ -255,7 +257,7 @@
         t.epoch = epoch;
         t.attempt += 1;
         update_state(row, now);
-        self.commit_mut(k).add(&task, demand);
+        self.commitments_mut(k).add(&task, demand);
         self.plan.counts.placed += 1;
         self.order_start(name, epoch, id, n, &worker);
     }
--- a/src/entry/writes.rs
+++ b/src/entry/writes.rs
@@ -5,8 +5,8 @@
 //! the write is sent, the frame is sent to a runner at most once, and a repeat queries that runner
 //! for the outcome. A `Busy` answer means that the runner has not run the write and never will;
 //! only then is the record changed to another runner and the write sent there. A restarted runner
-//! no longer has the outcomes of its previous incarnation, so the caller is told that the outcome
-//! is unknown.
+//! no longer has the outcomes of its previous incarnation, so the outcome is then reported
+//! as unknown.
 
 use crate::entry::ledger::{Ledger, LedgerError, RecordResult};
 use crate::entry::route::{Pool, RouteError, RunnerKey};
@@ -87,7 +87,7 @@
             let row = WriteRow { runner, incarnation, runs: None };
             let progress = match self.ledger.record(id, row.clone(), version).await? {
                 RecordResult::Recorded(v) => self.send(k, &row, v, id, body, deadline).await?,
-                RecordResult::Other(row, v) => self.query(&row, v, id, deadline).await?,
+                RecordResult::VersionMismatch(row, v) => self.query(&row, v, id, deadline).await?,
             };
             match progress {
                 Progress::Done(done) => return Ok(done),
--- a/src/runner/conn.rs
+++ b/src/runner/conn.rs
@@ -24,8 +24,8 @@
 const DRAIN_POLL_MS: u64 = 20;
 
 impl Runner {
-    fn is_silenced(&self, gen: u64) -> bool {
-        gen <= self.silenced_upto.load(Ordering::SeqCst)
+    fn is_silenced(&self, generation: u64) -> bool {
+        generation <= self.silenced_upto.load(Ordering::SeqCst)
     }
 
     async fn handle(self: Arc<Self>, frame: Frame, tx: channel::Sender<Frame>) {
@@ -123,7 +123,7 @@
 /// Serves one connection until the remote side closes it, or until `stop` has fired and the
 /// requests in flight are answered. A request that arrives after `stop` is answered busy and does
 /// not run.
-pub async fn serve(r: Arc<Runner>, stream: TcpStream, gen: u64, stop: Stop) {
+pub async fn serve(r: Arc<Runner>, stream: TcpStream, generation: u64, stop: Stop) {
     let Ok(ws) = async_tungstenite::accept_async(stream).await else { return };
     r.open_conns.fetch_add(1, Ordering::SeqCst);
     let (mut sink, mut source) = ws.split();
@@ -132,7 +132,7 @@
         let r = r.clone();
         async_std::task::spawn(async move {
             while let Ok(f) = rx.recv().await {
-                if r.is_silenced(gen) {
+                if r.is_silenced(generation) {
                     continue;
                 }
                 if sink.send(Message::binary(wire::encode(f))).await.is_err() {
@@ -169,7 +169,7 @@
             }
         };
         let Some(Ok(msg)) = next else { break };
-        if r.is_silenced(gen) {
+        if r.is_silenced(generation) {
             continue;
         }
         let Message::Binary(bytes) = msg else { continue };
@@ -198,8 +198,8 @@
                 }
                 r.queued.fetch_add(1, Ordering::SeqCst);
                 pending.fetch_add(1, Ordering::SeqCst);
-                let job = r.clone().run_in_slot(frame, tx.clone(), pending.clone());
-                handlers.push(async_std::task::spawn(job));
+                let request = r.clone().run_in_slot(frame, tx.clone(), pending.clone());
+                handlers.push(async_std::task::spawn(request));
             }
             _ => {}
         }
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -120,8 +120,8 @@
 
     /// Whether to lose this answer; counts it if so.
     fn lose_next_answer(&self) -> bool {
-        let take = |n: u64| n.checked_sub(1);
-        self.answers_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take).is_ok()
+        let decrement = |n: u64| n.checked_sub(1);
+        self.answers_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
     }
 
     /// Fault injection: all present connections become permanently silent. They stay open, but
@@ -166,11 +166,11 @@
                 metrics::counter!("runner_connections_refused").increment(1);
                 continue;
             }
-            let gen = self.generation.fetch_add(1, Ordering::SeqCst) + 1;
+            let generation = self.generation.fetch_add(1, Ordering::SeqCst) + 1;
             conns.push(async_std::task::spawn(conn::serve(
                 self.clone(),
                 stream,
-                gen,
+                generation,
                 stop.clone(),
             )));
         }
--- a/src/smoke/calls.rs
+++ b/src/smoke/calls.rs
@@ -214,9 +214,9 @@
             let start = Instant::now();
             let Ok(done) = post_json::<serde_json::Value>(&url, &edit).await else { continue };
             self.edits.fetch_add(1, Ordering::Relaxed);
-            let want = done["version"].as_u64().unwrap_or(0);
+            let edited = done["version"].as_u64().unwrap_or(0);
             for e in 0..self.bases.len() {
-                while !self.is_done() && self.version(e).await.is_some_and(|v| v < want) {
+                while !self.is_done() && self.version(e).await.is_some_and(|v| v < edited) {
                     task::sleep(LOOP_INTERVAL).await;
                 }
             }
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -116,7 +116,7 @@
         req: surf::RequestBuilder,
     ) -> Result<T, PlatformError> {
         self.traffic.calls.fetch_add(1, Ordering::Relaxed);
-        let sent = self.clock.timeout(CALL_MS, async {
+        let answer = self.clock.timeout(CALL_MS, async {
             let mut res = req.header(CALLER, &self.domain).await.map_err(transport)?;
             let status: u16 = res.status().into();
             let text = res.body_bytes().await.map_err(transport)?;
@@ -134,7 +134,7 @@
                 _ => PlatformError::Status { status, detail: kind },
             })
         });
-        sent.await.unwrap_or(Err(PlatformError::Timeout))
+        answer.await.unwrap_or(Err(PlatformError::Timeout))
     }
 
     async fn post<B: Serialize, T: DeserializeOwned>(
@@ -200,7 +200,7 @@
         self.post("/workers/start", &StartBatch { starts }).await
     }
 
-    /// Stops attempts of tasks; each result tells whether the worker was reached.
+    /// Stops attempts of tasks; each result is whether the worker was reached.
     pub async fn stop(&self, stops: Vec<StopReq>) -> Result<Vec<bool>, PlatformError> {
         self.post("/workers/stop", &StopBatch { stops }).await
     }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -188,11 +188,11 @@
                         return Some(tasks::StartRefusal::StaleEpoch);
                     }
                     let (worker, demand) = (r.worker.clone(), r.demand);
-                    let want =
+                    let expected =
                         PlaceRow { worker, epoch: r.epoch, attempt: r.attempt, demand }.value();
                     let shard = r.lease.strip_prefix(LEASE_PREFIX).unwrap_or(&r.lease);
                     match t.peek(&place_key(shard, &r.task)) {
-                        Some(row) if row.value == want => None,
+                        Some(row) if row.value == expected => None,
                         _ => Some(tasks::StartRefusal::NotPlaced),
                     }
                 })
@@ -226,7 +226,7 @@
             .collect()
     }
 
-    /// Stops attempts of tasks; each result tells whether the worker was reached.
+    /// Stops attempts of tasks; each result is whether the worker was reached.
     pub fn stop(&self, reqs: &[api::StopReq]) -> Vec<bool> {
         self.tick_all();
         let now = self.clock.now();
--- a/src/standin/tasks.rs
+++ b/src/standin/tasks.rs
@@ -43,8 +43,8 @@
     pub saved: u8,
     /// Expiry of this order, platform ms; 0 for none. Without it, an order delayed in the network
     /// could start a task on a worker that has been considered lost in the meantime.
-    #[serde(default)]
-    pub by: Millis,
+    #[serde(rename = "by", default)]
+    pub valid_until: Millis,
     /// Duration of the task lease, ms; 0 for none. The worker kills the task if the shard's holder
     /// does not extend the lease in time.
     #[serde(default)]
--- a/src/standin/workers.rs
+++ b/src/standin/workers.rs
@@ -197,7 +197,7 @@
         if w.cut {
             return Some(StartRefusal::Unreachable);
         }
-        if req.by > 0 && now > req.by {
+        if req.valid_until > 0 && now > req.valid_until {
             return Some(StartRefusal::Late);
         }
         if w.running.get(&req.task).is_some_and(|r| r.attempt >= req.attempt) {
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -151,7 +151,7 @@
     c.runners[0].silence();
     let pool = &c.entries[0].pool;
     let closed = eventually(100, || async {
-        pool.counts.silent.load(std::sync::atomic::Ordering::Relaxed) > 0
+        pool.counts.unresponsive.load(std::sync::atomic::Ordering::Relaxed) > 0
     })
     .await;
     assert!(closed, "the unresponsive connection was not closed");
@@ -180,15 +180,15 @@
     c.stop().await;
 }
 
-/// Guards against a failure domain that stops serving, or whose tasks die, while only this domain
-/// cannot reach the platform. Lookups must be served, and a request that needs the table must be
-/// refused at once as not run. After the fault, writes and jobs must run, each once.
+/// Guards against a failure domain that stops serving, or whose tasks are killed, while only this
+/// domain cannot reach the platform. Lookups must be served, and a request that needs the table must
+/// be refused at once as not run. After the fault, writes and jobs must run, each once.
 #[async_std::test]
 async fn domain_without_platform_access_serves_lookups_and_recovers() {
     let c = ready_cell(2, 2, 1).await;
-    let cut =
+    let outage =
         |target| Fault { from: Some("a".into()), ..Fault::now(target, FaultKind::Outage, 6_000) };
-    c.platform.add_faults([Target::Table, Target::Workers, Target::Instances].map(cut).into());
+    c.platform.add_faults([Target::Table, Target::Workers, Target::Instances].map(outage).into());
     for i in 0..20 {
         assert_eq!(get(&format!("{}/lookup?key=cut{i}", c.url(i % 2))).await.0, 200);
     }
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -62,7 +62,7 @@
         demand: Resources { cpu: 1000, mem: 1024, acc: 0 },
         run_ms: 10_000,
         saved: 0,
-        by: 0,
+        valid_until: 0,
         hold_ms: 0,
     }
 }
@@ -118,10 +118,10 @@
     let p = platform(&clock);
     let epoch = acquire(&p, "A").unwrap();
     assert!(matches!(place(&p, "A", epoch, "a-r0-w0"), Outcome::Committed { .. }));
-    let order = StartReq { by: clock.now() + 500, ..start("a-r0-w0", epoch) };
+    let order = StartReq { valid_until: clock.now() + 500, ..start("a-r0-w0", epoch) };
     clock.advance(501);
     assert_eq!(p.start(std::slice::from_ref(&order))[0].refused, Some(StartRefusal::Late));
-    let fresh_order = StartReq { by: clock.now() + 400, ..order };
+    let fresh_order = StartReq { valid_until: clock.now() + 400, ..order };
     assert_eq!(p.start(&[fresh_order])[0].refused, None);
 }
 
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -70,10 +70,10 @@
     #[test]
     fn damaged_frames_are_typed_errors(f in frame(), at in any::<prop::sample::Index>(), b in any::<u8>()) {
         let whole = wire::encode(f);
-        let cut = at.index(whole.len());
-        prop_assert!(matches!(wire::decode(&whole[..cut]), Err(FrameError::Decode(_))));
+        let position = at.index(whole.len());
+        prop_assert!(matches!(wire::decode(&whole[..position]), Err(FrameError::Decode(_))));
         let mut changed = whole.clone();
-        changed[cut] = b;
+        changed[position] = b;
         let _ = wire::decode(&changed);
     }
 
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -59,8 +59,8 @@
     let broken = p.file("broken.json", "{\"entry\":");
     let (ok, out) = p.command(&["submit", entry[0], entry[1], &broken]).await;
     assert!(!ok && out.contains("broken.json is not valid"), "{out}");
-    let (ok, out) = p.command(&["entry", "--id", "nobody"]).await;
-    assert!(!ok && out.contains("no entry nobody in the settings"), "{out}");
+    let (ok, out) = p.command(&["entry", "--id", "absent"]).await;
+    assert!(!ok && out.contains("no entry absent in the settings"), "{out}");
 }
 
 /// An entry is killed after it committed placements whose start orders did not get through; another
