--- a/src/cli.rs
+++ b/src/cli.rs
@@ -175,8 +175,8 @@
     let settings = NodeSettings::load(&path)?;
     crate::logs::init_stdout("control", &settings.id, level)?;
     let (clock, stop, _signals) = signals()?;
-    let hups = signal_hook_async_std::Signals::new([signal_hook::consts::SIGHUP])?;
-    let reloads = async_std::task::spawn(reload(hups, path, settings.clone()));
+    let hangups = signal_hook_async_std::Signals::new([signal_hook::consts::SIGHUP])?;
+    let reloads = async_std::task::spawn(reload(hangups, path, settings.clone()));
     let res = crate::control::node::run(settings, clock, stop).await;
     reloads.cancel().await;
     res
@@ -184,9 +184,13 @@
 
 /// Reads the settings again on each SIGHUP and logs whether they changed. A running instance keeps
 /// its settings; changed ones take effect at its next start.
-async fn reload(mut hups: signal_hook_async_std::Signals, path: PathBuf, mut last: NodeSettings) {
+async fn reload(
+    mut hangups: signal_hook_async_std::Signals,
+    path: PathBuf,
+    mut last: NodeSettings,
+) {
     use futures::StreamExt;
-    while hups.next().await.is_some() {
+    while hangups.next().await.is_some() {
         match NodeSettings::load(&path) {
             Ok(new) => {
                 log::info!(changed = new != last, path:% = path.display(); "settings reloaded");
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -111,7 +111,7 @@
         cat = e.refresh_catalogue().await;
     }
     let rack_capacities = e.rack_capacities.lock().unwrap().clone();
-    let accept = jobs::Accept {
+    let context = jobs::SubmitContext {
         table: &e.platform,
         clock: &e.clock,
         cat: &cat,
@@ -119,7 +119,7 @@
         rack_capacities: &rack_capacities,
         domain: &e.addr.domain,
     };
-    match jobs::submit(&accept, spec).await {
+    match jobs::submit(&context, spec).await {
         Ok(row) if matches!(row.state, JobState::Refused { .. }) => not_run(row),
         Ok(row) => admin::json(200, &row),
         Err(err @ SubmitError::Invalid { .. }) => fail(400, "invalid", err, None),
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3;
 
 /// Most attempts of a transaction without an answer, and of a cancellation that meets conflicts.
-pub const TRIES: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Delay before the first retry, ms. It doubles with each retry and has jitter.
 pub const BACKOFF_MS: u64 = 50;
@@ -76,7 +76,7 @@
 pub async fn apply(table: &Client, clock: &Clock, txn: &Txn) -> Result<Outcome, PlatformError> {
     let mut wait = BACKOFF_MS;
     let mut last = PlatformError::Timeout;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match table.txn(txn).await {
             Ok(out) => return Ok(out),
             Err(
@@ -130,7 +130,7 @@
 }
 
 /// Inputs of a submission besides the job.
-pub struct Accept<'a> {
+pub struct SubmitContext<'a> {
     /// Client of the table.
     pub table: &'a Client,
     /// The process clock.
@@ -145,7 +145,7 @@
     pub domain: &'a str,
 }
 
-impl Accept<'_> {
+impl SubmitContext<'_> {
     /// Builds the row of a new job: pending in the shard chosen for it, or refused if it can never
     /// run.
     fn row(&self, entry: &CatEntry, spec: JobSpec) -> JobRow {
@@ -213,7 +213,7 @@
 
 /// Checks and commits a job, and returns its row. A job that can never run is committed as refused
 /// at once, which shows in the state of the row.
-pub async fn submit(a: &Accept<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
+pub async fn submit(a: &SubmitContext<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
     check(&spec)?;
     let entry = a
         .cat
@@ -242,14 +242,14 @@
             metrics::counter!("entry_jobs_submitted").increment(1);
             Ok(row)
         }
-        Outcome::Conflict { .. } => known_job(a.table, row).await,
+        Outcome::Conflict { .. } => existing_job(a.table, row).await,
     }
 }
 
 /// Returns the job of an earlier submission with the same key, if its specification is the same.
-async fn known_job(table: &Client, row: JobRow) -> Result<JobRow, SubmitError> {
+async fn existing_job(table: &Client, row: JobRow) -> Result<JobRow, SubmitError> {
     match rows::read::<JobRow>(table, rows::job_key(&row.id)).await? {
-        Some((known, _)) if known.spec == row.spec => Ok(known),
+        Some((existing, _)) if existing.spec == row.spec => Ok(existing),
         _ => Err(SubmitError::KeyReused(row.spec.key)),
     }
 }
@@ -285,7 +285,7 @@
     clock: &Clock,
     id: &str,
 ) -> Result<(JobRow, Vec<StopReq>), CancelError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Some((mut row, version)) = rows::read::<JobRow>(table, rows::job_key(id)).await? else {
             return Err(CancelError::NotFound(id.into()));
         };
--- a/src/entry/loops.rs
+++ b/src/entry/loops.rs
@@ -116,7 +116,7 @@
 
     /// Returns the epochs of the shards held, and the shards whose leases were renewed recently
     /// enough to be used.
-    async fn held(&self) -> (BTreeMap<String, u64>, BTreeSet<String>) {
+    async fn held_shards(&self) -> (BTreeMap<String, u64>, BTreeSet<String>) {
         let m = self.members.lock().await;
         let now = self.clock.now();
         let held: BTreeMap<String, u64> =
@@ -128,7 +128,7 @@
 
     /// Runs one scheduling round and drops the shards whose leases it found to be lost.
     async fn round(&self, s: &mut sched::Sched) -> Result<(), PlatformError> {
-        let (held, usable) = self.held().await;
+        let (held, usable) = self.held_shards().await;
         if held.is_empty() {
             return Ok(());
         }
@@ -158,7 +158,7 @@
     /// Removes old rows of the shards held. The holder of the domain's first shard also removes old
     /// write records and saves the catalogue snapshot.
     async fn collect_garbage(&self, now: Millis) -> Result<(), PlatformError> {
-        let (held, usable) = self.held().await;
+        let (held, usable) = self.held_shards().await;
         let first = self.inventory.lock().unwrap().as_ref().map(|i| i.shards[0].0.clone());
         let pass = sched::gc::Pass {
             platform: &self.platform,
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -12,7 +12,7 @@
 
 /// A shard lease held by this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
-pub struct Held {
+pub struct HeldLease {
     /// Fencing epoch of the lease.
     pub epoch: u64,
     /// Local time of the last heartbeat whose renewal the table confirmed, ms.
@@ -36,7 +36,7 @@
     /// Shards of the failure domain.
     pub shards: Vec<String>,
     /// Shard leases held, by shard.
-    pub held: BTreeMap<String, Held>,
+    pub held: BTreeMap<String, HeldLease>,
     /// Live members of the failure domain, as of the last heartbeat.
     pub members: BTreeSet<String>,
     /// Lifetime of a lease, ms.
@@ -51,7 +51,7 @@
     /// After that the holder stops placing tasks by itself, before the table would refuse its
     /// commits.
     pub fn usable(&self, shard: &str, now: Millis, margin: u64) -> bool {
-        let until = |h: &Held| h.renewed + self.lease_ms.saturating_sub(margin);
+        let until = |h: &HeldLease| h.renewed + self.lease_ms.saturating_sub(margin);
         self.held.get(shard).is_some_and(|h| now < until(h))
     }
 
@@ -124,7 +124,7 @@
             let epoch = epochs[0];
             log::info!("acquired shard {shard} epoch {epoch}");
             metrics::counter!("entry_shards_taken").increment(1);
-            self.held.insert(shard.to_string(), Held { epoch, renewed: now });
+            self.held.insert(shard.to_string(), HeldLease { epoch, renewed: now });
         }
         Ok(())
     }
--- a/src/entry/route/mod.rs
+++ b/src/entry/route/mod.rs
@@ -92,7 +92,7 @@
     domain: String,
     timing: Timing,
     clock: Clock,
-    next: AtomicU64,
+    next_id: AtomicU64,
     budget: budget::Budget,
     /// Counters since the process started.
     pub counts: PoolCounts,
@@ -114,7 +114,7 @@
             budget: budget::Budget::new(timing.retry_pct),
             timing,
             clock,
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
             counts: PoolCounts::default(),
         })
     }
@@ -202,7 +202,7 @@
         incarnation: Option<u64>,
         make: impl FnOnce(u64) -> Frame,
     ) -> Option<InFlight> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
         let mut l = self.runners.get(k).link.lock().unwrap();
         if incarnation.is_some() && l.incarnation != incarnation {
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -13,7 +13,7 @@
 use crate::standin::{lease_key, place_key, LEASE_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At most one worker in this many of a shard is avoided at a time, so that a wave of jobs that
+/// At most one worker in this many of a shard is avoided at a time, so that a burst of jobs that
 /// fail everywhere does not leave the shard without workers.
 const AVOID_AT_MOST_ONE_IN: usize = 4;
 
--- a/src/entry/sched/load.rs
+++ b/src/entry/sched/load.rs
@@ -110,9 +110,9 @@
     pub(super) async fn load(
         &mut self,
         cx: &Ctx<'_>,
-        live: &BTreeMap<String, u64>,
+        plannable: &BTreeMap<String, u64>,
     ) -> Result<(), PlatformError> {
-        for (name, &epoch) in live {
+        for (name, &epoch) in plannable {
             if self.shards.get(name).is_none_or(|s| s.loaded.is_some()) {
                 continue;
             }
@@ -138,10 +138,10 @@
     pub(super) async fn read_jobs(
         &mut self,
         cx: &Ctx<'_>,
-        live: &BTreeMap<String, u64>,
+        plannable: &BTreeMap<String, u64>,
     ) -> Result<(), PlatformError> {
         let mut needed: BTreeSet<String> = BTreeSet::new();
-        for name in live.keys() {
+        for name in plannable.keys() {
             needed.extend(self.pending.get(name).into_iter().flat_map(|m| m.keys().cloned()));
             let Some(s) = self.shards.get(name) else { continue };
             let ended = s.ended.iter().map(|e| &e.task);
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -40,7 +40,7 @@
 pub const AVOID_MS: u64 = 30_000;
 
 /// Most commit attempts in one round; each conflict is followed by a new plan.
-const COMMIT_TRIES: u32 = 4;
+const MAX_COMMIT_ATTEMPTS: u32 = 4;
 
 /// The resources committed on one worker: the sum of its placement rows. Only the shard's holder
 /// changes them, under its lease, so the sum needs no row of its own.
@@ -291,20 +291,20 @@
             .collect();
         superseded.iter().for_each(|n| self.unload(n));
         let mut result = RoundResult { lost: self.poll(cx, held).await? };
-        let live: BTreeMap<String, u64> = held
+        let plannable: BTreeMap<String, u64> = held
             .iter()
             .filter(|(s, _)| usable.contains(*s) && !result.lost.contains(*s))
             .map(|(s, e)| (s.clone(), *e))
             .collect();
-        if live.is_empty() {
+        if plannable.is_empty() {
             return Ok(result);
         }
         self.follow_pending(cx).await?;
-        self.load(cx, &live).await?;
-        for _ in 0..COMMIT_TRIES {
-            self.read_jobs(cx, &live).await?;
-            self.read_quotas(cx, &live).await?;
-            let plan = self.plan(cx, &live);
+        self.load(cx, &plannable).await?;
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            self.read_jobs(cx, &plannable).await?;
+            self.read_quotas(cx, &plannable).await?;
+            let plan = self.plan(cx, &plannable);
             match self.commit(cx, plan).await? {
                 commit::CommitResult::Done => break,
                 commit::CommitResult::Conflict => continue,
--- a/src/entry/sched/plan.rs
+++ b/src/entry/sched/plan.rs
@@ -85,12 +85,12 @@
 }
 
 impl Sched {
-    /// Plans a round over the shards in `live`.
-    pub(super) fn plan(&self, cx: &Ctx<'_>, live: &BTreeMap<String, u64>) -> Plan {
+    /// Plans a round over the shards in `plannable`.
+    pub(super) fn plan(&self, cx: &Ctx<'_>, plannable: &BTreeMap<String, u64>) -> Plan {
         let now = cx.clock.now();
         let plan = Plan { now, ..Plan::default() };
         let mut d = Draft { s: self, cx, plan, used: RefCell::default() };
-        for (name, &epoch) in live {
+        for (name, &epoch) in plannable {
             let Some(shard) = self.shards.get(name) else { continue };
             if shard.loaded != Some(epoch) {
                 continue;
@@ -106,7 +106,7 @@
             }
         }
         if self.counts.rounds.is_multiple_of(GRANT_RELEASE_ROUNDS) {
-            d.release_grants(live);
+            d.release_grants(plannable);
         }
         d.plan
     }
--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -45,14 +45,14 @@
 }
 
 impl Sched {
-    /// Reads the quota rows of the teams with jobs waiting in the shards of `live`, unless they are
-    /// cached.
+    /// Reads the quota rows of the teams with jobs waiting in the shards of `plannable`, unless
+    /// they are cached.
     pub(super) async fn read_quotas(
         &mut self,
         cx: &Ctx<'_>,
-        live: &BTreeMap<String, u64>,
+        plannable: &BTreeMap<String, u64>,
     ) -> Result<(), PlatformError> {
-        let teams: BTreeSet<String> = live
+        let teams: BTreeSet<String> = plannable
             .keys()
             .filter_map(|s| self.pending.get(s))
             .flat_map(|m| m.keys())
@@ -139,9 +139,9 @@
 }
 
 impl Draft<'_> {
-    /// Releases the grants of the shards in `live` whose team has no task and no waiting job there.
-    /// A grant in use is kept as it is, with its spare.
-    pub(super) fn release_grants(&mut self, live: &BTreeMap<String, u64>) {
+    /// Releases the grants of the shards in `plannable` whose team has no task and no waiting job
+    /// there. A grant in use is kept as it is, with its spare.
+    pub(super) fn release_grants(&mut self, plannable: &BTreeMap<String, u64>) {
         for (team, cached) in &self.s.quotas {
             if self.plan.quotas.contains_key(team) {
                 continue;
@@ -151,7 +151,7 @@
                 .granted
                 .keys()
                 .filter(|shard| !self.has_work(shard, team))
-                .filter_map(|shard| Some((shard.clone(), *live.get(shard)?)))
+                .filter_map(|shard| Some((shard.clone(), *plannable.get(shard)?)))
                 .collect();
             if idle.is_empty() {
                 continue;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -72,7 +72,7 @@
 }
 
 /// Formats a record as one JSON line, without a line break.
-fn line(role: &str, id: &str, record: &log::Record<'_>, message: &str) -> String {
+fn format_line(role: &str, id: &str, record: &log::Record<'_>, message: &str) -> String {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |d| d.as_millis() as u64);
@@ -93,7 +93,7 @@
     let (role, id) = (role.to_string(), id.to_string());
     fern::Dispatch::new()
         .format(move |out, message, record| {
-            let text = line(&role, &id, record, &message.to_string());
+            let text = format_line(&role, &id, record, &message.to_string());
             out.finish(format_args!("{text}"))
         })
         .level(level)
@@ -115,7 +115,7 @@
             if record.level() > log::Level::Warn && exceeds_rate() {
                 return drop_line();
             }
-            enqueue(&tx, line(&role, &id, record, &record.args().to_string()));
+            enqueue(&tx, format_line(&role, &id, record, &record.args().to_string()));
         }))
         .apply()?;
     Ok(())
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -126,7 +126,7 @@
     }
 }
 
-/// Settings of an entry instance.
+/// Id, failure domain and address of an entry instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryAddr {
@@ -138,7 +138,7 @@
     pub listen: SocketAddr,
 }
 
-/// Settings of a runner stand-in.
+/// Id, failure domain and addresses of a runner stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunnerAddr {
--- a/src/smoke/calls.rs
+++ b/src/smoke/calls.rs
@@ -199,12 +199,12 @@
         get_json::<serde_json::Value>(&url).await?["catalogue"]["version"].as_u64()
     }
 
-    /// Edits the catalogue every `gap` and measures the time until each edit is in force on every
-    /// entry that answers.
-    pub async fn run_edits(self: Arc<Self>, gap: Duration) {
+    /// Edits the catalogue every `interval` and measures the time until each edit is in force on
+    /// every entry that answers.
+    pub async fn run_edits(self: Arc<Self>, interval: Duration) {
         let mut n = 0;
         while !self.is_done() {
-            task::sleep(gap).await;
+            task::sleep(interval).await;
             n += 1;
             let url = format!("{}/catalogue", self.base(n));
             let Some(cat) = get_json::<Catalogue>(&url).await else { continue };
--- a/src/smoke/jobs.rs
+++ b/src/smoke/jobs.rs
@@ -70,32 +70,32 @@
 /// Submits `rate` jobs per second until `until`; a submission does not wait for the answer to the
 /// previous one.
 pub async fn submit(cell: &Cell, rate: u32, until: Instant) -> Submitted {
-    let mut out = Submitted::default();
+    let mut submitted = Submitted::default();
     if rate == 0 {
-        return out;
+        return submitted;
     }
     let (kinds, gangs) = (targets(cell, &KINDS), targets(cell, std::slice::from_ref(&GANG)));
     let run_id: u64 = rand::random();
-    let gap = Duration::from_secs(1) / rate;
+    let interval = Duration::from_secs(1) / rate;
     let start = Instant::now();
     let mut submissions = Vec::new();
     for n in 0.. {
-        let due = start + gap * n as u32;
+        let due = start + interval * n as u32;
         if due >= until {
             break;
         }
         task::sleep(due.saturating_duration_since(Instant::now())).await;
         let pool = if n % GANG_EVERY == GANG_EVERY - 1 { &gangs } else { &kinds };
         let Some((kind, domain)) = pool.get(n % pool.len().max(1)) else { continue };
-        let at: Vec<_> = cell.entries.iter().filter(|e| e.domain == *domain).collect();
-        let Some(entry) = at.get(n / pool.len() % at.len().max(1)) else { continue };
+        let entries: Vec<_> = cell.entries.iter().filter(|e| e.domain == *domain).collect();
+        let Some(entry) = entries.get(n / pool.len() % entries.len().max(1)) else { continue };
         let base = format!("http://{}", entry.listen);
         let spec = serde_json::json!({
             "entry": kind.entry, "tasks": kind.tasks, "demand": kind.demand,
             "run_ms": kind.run_ms, "key": format!("smoke-{run_id:x}-{n}"),
         });
-        out.jobs += 1;
-        out.tasks += u64::from(kind.tasks);
+        submitted.jobs += 1;
+        submitted.tasks += u64::from(kind.tasks);
         let tasks = u64::from(kind.tasks);
         submissions.push(task::spawn(async move {
             let answer = post_json::<JobRow>(&format!("{base}/jobs"), &spec).await;
@@ -104,12 +104,12 @@
     }
     for (base, tasks, answer) in futures::future::join_all(submissions).await {
         match answer {
-            Ok(row) => out.accepted.entry(base).or_default().push(row.id),
-            Err(422) => out.refused += tasks,
-            Err(_) => out.errors += 1,
+            Ok(row) => submitted.accepted.entry(base).or_default().push(row.id),
+            Err(422) => submitted.refused += tasks,
+            Err(_) => submitted.errors += 1,
         }
     }
-    out
+    submitted
 }
 
 impl Submitted {
--- a/src/smoke/mod.rs
+++ b/src/smoke/mod.rs
@@ -67,8 +67,8 @@
     loops.extend((0..options.writers).map(|n| task::spawn(load.clone().run_writes(n as usize))));
     loops.extend((0..bases.len()).map(|n| task::spawn(load.clone().watch_versions(n))));
     if options.edits > 0 {
-        let gap = Duration::from_secs(60) / options.edits;
-        loops.push(task::spawn(load.clone().run_edits(gap)));
+        let interval = Duration::from_secs(60) / options.edits;
+        loops.push(task::spawn(load.clone().run_edits(interval)));
     }
     let until = start + Duration::from_secs(options.seconds);
     let mut submitted = jobs::submit(cell, options.jobs, until).await;
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -21,10 +21,10 @@
 use std::sync::Arc;
 
 /// Time allowed for one call to the platform, ms.
-pub const CALL_MS: u64 = 2000;
+pub const CALL_TIMEOUT_MS: u64 = 2000;
 
 /// Header that names the failure domain of the calling process.
-pub const CALLER: &str = "x-currantgw-domain";
+pub const CALLER_HEADER: &str = "x-currantgw-domain";
 
 /// Calls of this process to the platform and the bytes of their bodies, for `/debug/state`.
 #[derive(Debug, Default, Serialize)]
@@ -53,7 +53,7 @@
         /// `unavailable` or `answer_lost`.
         kind: String,
     },
-    /// No answer within [`CALL_MS`].
+    /// No answer within [`CALL_TIMEOUT_MS`].
     #[error("platform call timed out")]
     Timeout,
     /// The connection failed.
@@ -116,8 +116,8 @@
         req: surf::RequestBuilder,
     ) -> Result<T, PlatformError> {
         self.traffic.calls.fetch_add(1, Ordering::Relaxed);
-        let answer = self.clock.timeout(CALL_MS, async {
-            let mut res = req.header(CALLER, &self.domain).await.map_err(transport)?;
+        let answer = self.clock.timeout(CALL_TIMEOUT_MS, async {
+            let mut res = req.header(CALLER_HEADER, &self.domain).await.map_err(transport)?;
             let status: u16 = res.status().into();
             let text = res.body_bytes().await.map_err(transport)?;
             self.traffic.received.fetch_add(text.len() as u64, Ordering::Relaxed);
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -180,7 +180,7 @@
     pub fn start(&self, reqs: &[tasks::StartReq]) -> Vec<tasks::StartResult> {
         self.tick_all();
         let now = self.clock.now();
-        let fenced: Vec<Option<tasks::StartRefusal>> = {
+        let refusals: Vec<Option<tasks::StartRefusal>> = {
             let t = self.table.lock().unwrap();
             reqs.iter()
                 .map(|r| {
@@ -200,7 +200,7 @@
         };
         let mut rng = rand::thread_rng();
         reqs.iter()
-            .zip(fenced)
+            .zip(refusals)
             .map(|(r, refused)| {
                 let refused = refused.or_else(|| {
                     let Some(d) = self.domains.get(Self::domain_of(&r.worker)) else {
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -5,7 +5,7 @@
 use crate::standin::api::{
     ErrorBody, FeedReq, GetReq, PollBatch, PutAnswer, ScanReq, StartBatch, StopBatch,
 };
-use crate::standin::client::CALLER;
+use crate::standin::client::CALLER_HEADER;
 use crate::standin::faults::{Fault, Target};
 use crate::standin::instances::InstanceState;
 use crate::standin::table::{Throttled, Txn};
@@ -28,7 +28,7 @@
 
 /// Failure domain of the caller, from its header; empty for operators and tests.
 fn caller(req: &Request<State>) -> String {
-    req.header(CALLER).map_or_else(String::new, |h| h.as_str().to_string())
+    req.header(CALLER_HEADER).map_or_else(String::new, |h| h.as_str().to_string())
 }
 
 /// Runs `f` under the faults of `target`: on an outage it answers 503 and does not run `f`, on a
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -237,7 +237,7 @@
     c.stop().await;
 }
 
-/// Guards against a rack without usable workers after a wave of jobs that fail on every worker.
+/// Guards against a rack without usable workers after a burst of jobs that fail on every worker.
 /// This happens if their failures count against the workers. A job that fails on two workers must
 /// count as faulty itself, and most workers of a shard must stay usable.
 #[async_std::test]
