--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -121,8 +121,8 @@
         free.times_fitting(demand).min(count)
     }
 
-    /// Enlarges the grant of `shard` from the quota of `team`, if it is too small for `added` on top
-    /// of the resources in use. The caller has checked [`Self::quota_headroom`].
+    /// Enlarges the grant of `shard` from the quota of `team`, if it is too small for `added` on
+    /// top of the resources in use. The caller has checked [`Self::quota_headroom`].
     pub(super) fn grant(&mut self, shard: &str, team: &str, quota: &Resources, added: &Resources) {
         let need = self.team_used(shard, team).add(added);
         let mut row = self.quota_row(team);
--- a/src/standin/tasks.rs
+++ b/src/standin/tasks.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum number of completions in one poll answer of a shard.
-pub const ENDED_PAGE: usize = 500;
+pub const COMPLETIONS_PAGE: usize = 500;
 
 /// The platform's description of one worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -136,7 +136,7 @@
     pub stale: bool,
     /// Platform time of the answer, ms.
     pub now: Millis,
-    /// Completions not yet acknowledged, oldest first, at most [`ENDED_PAGE`].
+    /// Completions not yet acknowledged, oldest first, at most [`COMPLETIONS_PAGE`].
     pub ended: Vec<Completion>,
     /// Workers that could not be reached, whose task leases were not extended.
     #[serde(rename = "cut")]
--- a/src/standin/workers.rs
+++ b/src/standin/workers.rs
@@ -8,7 +8,7 @@
 use crate::standin::faults::Affected;
 use crate::standin::tasks::{
     shard_of, Completion, EndKind, RackCapacity, ShardPoll, ShardReport, StartRefusal, StartReq,
-    WorkerInfo, ENDED_PAGE,
+    WorkerInfo, COMPLETIONS_PAGE,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -294,7 +294,7 @@
                 }
             }
         }
-        let visible = r.ended.iter().take_while(|e| e.at + lag <= now).take(ENDED_PAGE);
+        let visible = r.ended.iter().take_while(|e| e.at + lag <= now).take(COMPLETIONS_PAGE);
         out.ended = visible.cloned().collect();
         out
     }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -181,8 +181,8 @@
 }
 
 /// Guards against a failure domain that stops serving, or whose tasks are killed, while only this
-/// domain cannot reach the platform. Lookups must be served, and a request that needs the table must
-/// be refused at once as not run. After the fault, writes and jobs must run, each once.
+/// domain cannot reach the platform. Lookups must be served, and a request that needs the table
+/// must be refused at once as not run. After the fault, writes and jobs must run, each once.
 #[async_std::test]
 async fn domain_without_platform_access_serves_lookups_and_recovers() {
     let c = ready_cell(2, 2, 1).await;
