--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -8,13 +8,13 @@
 use crate::standin::api::StopReq;
 use crate::standin::client::{Client, PlatformError};
 use crate::standin::table::{Cond, Op, Outcome, Txn};
-use crate::standin::tasks::RackRoom;
+use crate::standin::tasks::RackCapacity;
 use crate::standin::{place_key, PlaceRow};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3;
 
 /// Most attempts of a transaction without an answer, and of a cancellation that meets conflicts.
-pub const TRIES: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Delay before the first retry, ms. It doubles with each retry and has jitter.
 pub const BACKOFF_MS: u64 = 50;
@@ -76,7 +76,7 @@
 pub async fn apply(table: &Client, clock: &Clock, txn: &Txn) -> Result<Outcome, PlatformError> {
     let mut wait = BACKOFF_MS;
     let mut last = PlatformError::Timeout;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match table.txn(txn).await {
             Ok(out) => return Ok(out),
             Err(
@@ -106,15 +106,20 @@
 
 impl Inventory {
     /// Returns the index of the shard for a new job: of two shards selected by the hash of the job
-    /// id, the one with more free capacity as reported in `rooms`. The report is delayed, so a
-    /// choice of the best of all shards would send a whole burst to one of them.
-    pub fn choose(&self, id: &str, spec: &JobSpec, rooms: &BTreeMap<String, RackRoom>) -> usize {
+    /// id, the one with more free capacity as reported in `rack_capacities`. The report is delayed,
+    /// so a choice of the best of all shards would send a whole burst to one of them.
+    pub fn choose(
+        &self,
+        id: &str,
+        spec: &JobSpec,
+        rack_capacities: &BTreeMap<String, RackCapacity>,
+    ) -> usize {
         let n = self.shards.len().max(1) as u64;
         let h = xxh3::xxh3_64(id.as_bytes());
         let (a, b) = ((h % n) as usize, ((h >> 32) % n) as usize);
         let rank = |i: usize| {
-            let room = self.shards.get(i).and_then(|(s, _, _)| rooms.get(s));
-            room.map(|r| (spec.demand.fits(&r.largest), r.free))
+            let rack = self.shards.get(i).and_then(|(s, _, _)| rack_capacities.get(s));
+            rack.map(|r| (spec.demand.fits(&r.largest), r.free))
         };
         if rank(b) > rank(a) {
             b
@@ -125,7 +130,7 @@
 }
 
 /// Inputs of a submission besides the job.
-pub struct Accept<'a> {
+pub struct SubmitContext<'a> {
     /// Client of the table.
     pub table: &'a Client,
     /// The process clock.
@@ -135,17 +140,17 @@
     /// Shards of the failure domain.
     pub inventory: &'a Inventory,
     /// Free capacity of the shards, as the platform reports it with a delay.
-    pub rooms: &'a BTreeMap<String, RackRoom>,
+    pub rack_capacities: &'a BTreeMap<String, RackCapacity>,
     /// Failure domain of this instance.
     pub domain: &'a str,
 }
 
-impl Accept<'_> {
+impl SubmitContext<'_> {
     /// Builds the row of a new job: pending in the shard chosen for it, or refused if it can never
     /// run.
     fn row(&self, entry: &CatEntry, spec: JobSpec) -> JobRow {
         let id = job_id(&spec.key);
-        let chosen = self.inventory.choose(&id, &spec, self.rooms);
+        let chosen = self.inventory.choose(&id, &spec, self.rack_capacities);
         let (shard, total, largest) = &self.inventory.shards[chosen];
         let (state, task) = match refusal_reason(&spec, entry.class, total, largest) {
             Some(r) => (JobState::Refused { reason: r.to_string() }, TaskState::Refused),
@@ -162,7 +167,7 @@
             submitted: self.clock.now(),
             started: None,
             moves: 0,
-            shun: BTreeSet::new(),
+            failed_on: BTreeSet::new(),
             retry: 0,
             spec,
         }
@@ -208,7 +213,7 @@
 
 /// Checks and commits a job, and returns its row. A job that can never run is committed as refused
 /// at once, which shows in the state of the row.
-pub async fn submit(a: &Accept<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
+pub async fn submit(a: &SubmitContext<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
     check(&spec)?;
     let entry = a
         .cat
@@ -237,14 +242,14 @@
             metrics::counter!("entry_jobs_submitted").increment(1);
             Ok(row)
         }
-        Outcome::Conflict { .. } => known_job(a.table, row).await,
+        Outcome::Conflict { .. } => existing_job(a.table, row).await,
     }
 }
 
 /// Returns the job of an earlier submission with the same key, if its specification is the same.
-async fn known_job(table: &Client, row: JobRow) -> Result<JobRow, SubmitError> {
+async fn existing_job(table: &Client, row: JobRow) -> Result<JobRow, SubmitError> {
     match rows::read::<JobRow>(table, rows::job_key(&row.id)).await? {
-        Some((known, _)) if known.spec == row.spec => Ok(known),
+        Some((existing, _)) if existing.spec == row.spec => Ok(existing),
         _ => Err(SubmitError::KeyReused(row.spec.key)),
     }
 }
@@ -280,7 +285,7 @@
     clock: &Clock,
     id: &str,
 ) -> Result<(JobRow, Vec<StopReq>), CancelError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Some((mut row, version)) = rows::read::<JobRow>(table, rows::job_key(id)).await? else {
             return Err(CancelError::NotFound(id.into()));
         };
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -1,22 +1,22 @@
 //! The scheduler of one entry instance.
 //!
 //! Each round polls the workers of the shards held, which extends task leases and returns
-//! completions, and plans on cached rows ([`plan`], [`ends`], [`serve`] and the modules that they
-//! call). It commits the changes of all shards in one fenced transaction ([`commit`]), because the
-//! table's write budget is the scarcest resource, and then sends the starts and stops ([`orders`]).
-//! A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its workers
-//! report as running.
+//! completions, and plans on cached rows ([`plan`], [`completions`], [`serve`] and the modules that
+//! they call). It commits the changes of all shards in one fenced transaction ([`commit`]), because
+//! the table's write budget is the scarcest resource, and then sends the starts and stops
+//! ([`orders`]). A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its
+//! workers report as running.
 
 mod commit;
-mod ends;
+mod completions;
+pub mod gc;
 mod load;
+mod migrate;
 mod orders;
 mod plan;
 mod preempt;
 mod quota;
 mod serve;
-mod spill;
-pub mod sweep;
 
 use crate::entry::catalogue::Catalogue;
 use crate::entry::rows::{JobRow, QuotaRow};
@@ -25,7 +25,7 @@
 use crate::kernel::res::Resources;
 use crate::standin::api::StopReq;
 use crate::standin::client::{Client, PlatformError};
-use crate::standin::tasks::{shard_of, Ended, RackRoom, StartReq, WorkerInfo};
+use crate::standin::tasks::{shard_of, Completion, RackCapacity, StartReq, WorkerInfo};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,19 +40,19 @@
 pub const AVOID_MS: u64 = 30_000;
 
 /// Most commit attempts in one round; each conflict is followed by a new plan.
-const COMMIT_TRIES: u32 = 4;
+const MAX_COMMIT_ATTEMPTS: u32 = 4;
 
 /// The resources committed on one worker: the sum of its placement rows. Only the shard's holder
 /// changes them, under its lease, so the sum needs no row of its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Commit {
+pub struct Commitments {
     /// Sum of the declared resources of all tasks.
     pub used: Resources,
     /// Declared resources by task id.
     pub tasks: BTreeMap<String, Resources>,
 }
 
-impl Commit {
+impl Commitments {
     /// Adds a task; a task that is already committed stays as it is.
     pub fn add(&mut self, task: &str, r: Resources) {
         if self.tasks.insert(task.to_string(), r).is_none() {
@@ -74,16 +74,21 @@
     /// Name, rack and capacity from the platform's worker list.
     pub info: WorkerInfo,
     /// Commitments as last read or written by this instance.
-    pub commit: Commit,
+    #[serde(rename = "commit")]
+    pub commitments: Commitments,
     /// Tasks that failed here, of jobs that have failed on no other worker so far.
-    pub blame: BTreeSet<String>,
+    #[serde(rename = "blame")]
+    pub failures: BTreeSet<String>,
     /// Local time until which the worker is avoided, ms; 0 when it is not avoided.
-    pub avoid: Millis,
+    #[serde(rename = "avoid")]
+    pub avoid_until: Millis,
     /// Local time of the last contact, ms: a poll that reached the worker, or a poll or start that
     /// may have reached it. Its task leases may last until this time plus the lease period.
-    pub heard: Millis,
+    #[serde(rename = "heard")]
+    pub last_contact: Millis,
     /// Whether the last poll failed to reach the worker.
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub unreachable: bool,
 }
 
 /// One shard: a rack of workers.
@@ -99,7 +104,7 @@
     /// Sequence number up to which completions are committed.
     pub acked: u64,
     /// Completions reported and not yet committed.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<Completion>,
     /// Start orders that the workers have not yet answered, by task id.
     pub unstarted: BTreeMap<String, StartReq>,
     /// Stop orders, sent again until the completion that they cause is reported, by task id.
@@ -137,7 +142,8 @@
     /// Batch tasks preempted by urgent work.
     pub preempted: u64,
     /// Jobs moved to another shard.
-    pub spilled: u64,
+    #[serde(rename = "spilled")]
+    pub migrated: u64,
     /// Times that a job had to wait in a round for its team's quota.
     pub over_quota: u64,
     /// Jobs refused before any task was placed.
@@ -153,7 +159,7 @@
         self.failed += o.failed;
         self.lost += o.lost;
         self.preempted += o.preempted;
-        self.spilled += o.spilled;
+        self.migrated += o.migrated;
         self.over_quota += o.over_quota;
         self.refused += o.refused;
         self.recovered += o.recovered;
@@ -189,13 +195,15 @@
     pub jobs: BTreeMap<String, Cached<JobRow>>,
     /// Pending-job entries: the ids of jobs to serve in each shard, with the local time at which
     /// each was first seen, ms.
-    pub marks: BTreeMap<String, BTreeMap<String, Millis>>,
-    /// Revision of the table up to which `marks` is current.
+    #[serde(rename = "marks")]
+    pub pending: BTreeMap<String, BTreeMap<String, Millis>>,
+    /// Revision of the table up to which `pending` is current.
     pub revision: u64,
     /// Quota rows of the teams that have work in the shards held, by team.
     pub quotas: BTreeMap<String, Cached<QuotaRow>>,
     /// Free capacity of each shard of the domain, as the platform reports it with a delay.
-    pub rooms: BTreeMap<String, RackRoom>,
+    #[serde(rename = "rooms")]
+    pub rack_capacities: BTreeMap<String, RackCapacity>,
     /// Platform time of the last poll, ms.
     pub polled: Millis,
     /// Counters.
@@ -231,11 +239,11 @@
         for info in all.iter().filter(|w| w.domain == domain) {
             let view = WorkerView {
                 info: info.clone(),
-                commit: Commit::default(),
-                blame: BTreeSet::new(),
-                avoid: 0,
-                heard: 0,
-                cut: false,
+                commitments: Commitments::default(),
+                failures: BTreeSet::new(),
+                avoid_until: 0,
+                last_contact: 0,
+                unreachable: false,
             };
             let k = s.workers.push(view);
             s.names.insert(info.name.clone(), k);
@@ -283,24 +291,24 @@
             .collect();
         superseded.iter().for_each(|n| self.unload(n));
         let mut result = RoundResult { lost: self.poll(cx, held).await? };
-        let live: BTreeMap<String, u64> = held
+        let plannable: BTreeMap<String, u64> = held
             .iter()
             .filter(|(s, _)| usable.contains(*s) && !result.lost.contains(*s))
             .map(|(s, e)| (s.clone(), *e))
             .collect();
-        if live.is_empty() {
+        if plannable.is_empty() {
             return Ok(result);
         }
         self.follow_pending(cx).await?;
-        self.load(cx, &live).await?;
-        for _ in 0..COMMIT_TRIES {
-            self.read_jobs(cx, &live).await?;
-            self.read_quotas(cx, &live).await?;
-            let plan = self.plan(cx, &live);
+        self.load(cx, &plannable).await?;
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            self.read_jobs(cx, &plannable).await?;
+            self.read_quotas(cx, &plannable).await?;
+            let plan = self.plan(cx, &plannable);
             match self.commit(cx, plan).await? {
-                commit::Verdict::Done => break,
-                commit::Verdict::Again => continue,
-                commit::Verdict::Lost(shard) => {
+                commit::CommitResult::Done => break,
+                commit::CommitResult::Conflict => continue,
+                commit::CommitResult::LeaseLost(shard) => {
                     result.lost.push(shard);
                     return Ok(result);
                 }
@@ -315,10 +323,12 @@
     /// Returns the highest activity among the loaded shards.
     pub fn activity(&self) -> Activity {
         let of_shard = |(name, s): (&String, &Shard)| {
-            let waits = self.marks.get(name).is_some_and(|m| !m.is_empty());
-            if waits || !(s.unstarted.is_empty() && s.stopping.is_empty() && s.ended.is_empty()) {
+            let has_pending = self.pending.get(name).is_some_and(|m| !m.is_empty());
+            if has_pending
+                || !(s.unstarted.is_empty() && s.stopping.is_empty() && s.ended.is_empty())
+            {
                 Activity::Busy
-            } else if s.workers.iter().any(|&k| !self.workers.get(k).commit.tasks.is_empty()) {
+            } else if s.workers.iter().any(|&k| !self.workers.get(k).commitments.tasks.is_empty()) {
                 Activity::Running
             } else {
                 Activity::Idle
@@ -333,15 +343,15 @@
         let committed: BTreeSet<&str> = self
             .workers
             .iter()
-            .flat_map(|(_, w)| w.commit.tasks.keys())
+            .flat_map(|(_, w)| w.commitments.tasks.keys())
             .filter_map(|t| Some(crate::entry::rows::task_parts(t)?.0))
             .collect();
-        let marks = &self.marks;
+        let pending = &self.pending;
         self.jobs.retain(|id, j| {
             let shard = &j.row.shard;
             held.contains_key(shard)
                 && (committed.contains(id.as_str())
-                    || marks.get(shard).is_some_and(|m| m.contains_key(id)))
+                    || pending.get(shard).is_some_and(|m| m.contains_key(id)))
         });
     }
 }
--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -45,16 +45,16 @@
 }
 
 impl Sched {
-    /// Reads the quota rows of the teams with jobs waiting in the shards of `live`, unless they are
-    /// cached.
+    /// Reads the quota rows of the teams with jobs waiting in the shards of `plannable`, unless
+    /// they are cached.
     pub(super) async fn read_quotas(
         &mut self,
         cx: &Ctx<'_>,
-        live: &BTreeMap<String, u64>,
+        plannable: &BTreeMap<String, u64>,
     ) -> Result<(), PlatformError> {
-        let teams: BTreeSet<String> = live
+        let teams: BTreeSet<String> = plannable
             .keys()
-            .filter_map(|s| self.marks.get(s))
+            .filter_map(|s| self.pending.get(s))
             .flat_map(|m| m.keys())
             .filter_map(|id| self.jobs.get(id))
             .filter(|j| j.row.state == JobState::Pending)
@@ -90,7 +90,7 @@
     /// Computes the value of [`Self::team_used`] without the cache.
     fn sum_used(&self, shard: &str, team: &str) -> Resources {
         let Some(s) = self.s.shards.get(shard) else { return Resources::ZERO };
-        let tasks = s.workers.iter().flat_map(|&k| self.commit(k).tasks.iter());
+        let tasks = s.workers.iter().flat_map(|&k| self.commitments(k).tasks.iter());
         let of_team = |task: &str| {
             let job = rows::task_parts(task).and_then(|(id, _)| self.job(id));
             job.is_some_and(|j| j.team == team)
@@ -121,8 +121,8 @@
         free.times_fitting(demand).min(count)
     }
 
-    /// Enlarges the grant of `shard` from the quota of `team`, if it is too small for `added` on top
-    /// of the resources in use. The caller has checked [`Self::quota_headroom`].
+    /// Enlarges the grant of `shard` from the quota of `team`, if it is too small for `added` on
+    /// top of the resources in use. The caller has checked [`Self::quota_headroom`].
     pub(super) fn grant(&mut self, shard: &str, team: &str, quota: &Resources, added: &Resources) {
         let need = self.team_used(shard, team).add(added);
         let mut row = self.quota_row(team);
@@ -139,9 +139,9 @@
 }
 
 impl Draft<'_> {
-    /// Releases the grants of the shards in `live` whose team has no task and no waiting job there.
-    /// A grant in use is kept as it is, with its spare.
-    pub(super) fn release_grants(&mut self, live: &BTreeMap<String, u64>) {
+    /// Releases the grants of the shards in `plannable` whose team has no task and no waiting job
+    /// there. A grant in use is kept as it is, with its spare.
+    pub(super) fn release_grants(&mut self, plannable: &BTreeMap<String, u64>) {
         for (team, cached) in &self.s.quotas {
             if self.plan.quotas.contains_key(team) {
                 continue;
@@ -151,7 +151,7 @@
                 .granted
                 .keys()
                 .filter(|shard| !self.has_work(shard, team))
-                .filter_map(|shard| Some((shard.clone(), *live.get(shard)?)))
+                .filter_map(|shard| Some((shard.clone(), *plannable.get(shard)?)))
                 .collect();
             if idle.is_empty() {
                 continue;
@@ -168,7 +168,7 @@
     /// Returns whether `team` has committed tasks or waiting jobs in `shard`.
     fn has_work(&self, shard: &str, team: &str) -> bool {
         let of_team = |id: &str| self.job(id).is_some_and(|j| j.team == team);
-        let waiting = self.s.marks.get(shard).is_some_and(|m| m.keys().any(|id| of_team(id)));
+        let waiting = self.s.pending.get(shard).is_some_and(|m| m.keys().any(|id| of_team(id)));
         waiting || self.team_used(shard, team) != Resources::ZERO
     }
 }
--- a/src/entry/sched/serve.rs
+++ b/src/entry/sched/serve.rs
@@ -21,11 +21,11 @@
 impl Draft<'_> {
     /// Serves the jobs with a pending-job entry by class, deadline and submission time.
     pub fn serve_jobs(&mut self, name: &str, epoch: u64, shard: &Shard) {
-        let Some(marks) = self.s.marks.get(name) else { return };
+        let Some(entries) = self.s.pending.get(name) else { return };
         let mut order: Vec<(usize, Millis, Millis, &String)> = Vec::new();
-        for id in marks.keys() {
+        for id in entries.keys() {
             let Some(row) = self.job(id) else {
-                self.plan.marks.insert((name.to_string(), id.clone()), false);
+                self.plan.pending.insert((name.to_string(), id.clone()), false);
                 self.plan.leases.insert(name.to_string(), epoch);
                 continue;
             };
@@ -86,7 +86,7 @@
             let task = row.task_id(n);
             let Some(worker) = &t.worker else { continue };
             let Some(&k) = self.s.names.get(worker) else { continue };
-            if self.commit(k).tasks.contains_key(&task) {
+            if self.commitments(k).tasks.contains_key(&task) {
                 stops.push(StopReq { task, attempt: t.attempt, worker: worker.clone() });
             }
         }
@@ -218,28 +218,31 @@
     fn candidates(&self, shard: &Shard, row: &JobRow) -> Vec<Candidate> {
         let usable = |k: &WorkerKey| {
             let w = self.s.workers.get(*k);
-            w.avoid <= self.plan.now && !w.cut
+            w.avoid_until <= self.plan.now && !w.unreachable
         };
         let fits = |c: &Candidate| row.spec.demand.fits(&c.free);
         let workers = shard.workers.iter().copied().filter(usable);
         let mut pool: Vec<_> = workers.map(|k| self.candidate(k, row)).filter(fits).collect();
-        let shunned = |c: &Candidate| row.shun.contains(&self.s.workers.get(c.key).info.name);
-        if row.class != Class::Gang && !pool.iter().all(shunned) {
-            pool.retain(|c| !shunned(c));
+        let failed_here =
+            |c: &Candidate| row.failed_on.contains(&self.s.workers.get(c.key).info.name);
+        if row.class != Class::Gang && !pool.iter().all(failed_here) {
+            pool.retain(|c| !failed_here(c));
         }
         pool
     }
 
     /// Describes worker `key` to the placement policy as a candidate for a task of `row`.
     fn candidate(&self, key: WorkerKey, row: &JobRow) -> Candidate {
-        let (w, commit) = (self.s.workers.get(key), self.commit(key));
+        let (w, commitments) = (self.s.workers.get(key), self.commitments(key));
         let own = format!("{}.", row.id);
         let same_job = match row.class {
-            Class::Service => commit.tasks.keys().filter(|t| t.starts_with(&own)).count() as u32,
+            Class::Service => {
+                commitments.tasks.keys().filter(|t| t.starts_with(&own)).count() as u32
+            }
             Class::Urgent | Class::Batch | Class::Gang => 0,
         };
         let (rack, cap) = (w.info.rack, w.info.cap);
-        Candidate { key, rack, free: cap.sub(&commit.used), cap, same_job }
+        Candidate { key, rack, free: cap.sub(&commitments.used), cap, same_job }
     }
 
     /// Places task `n` of job `id` on worker `k` and orders its start.
@@ -254,7 +257,7 @@
         t.epoch = epoch;
         t.attempt += 1;
         update_state(row, now);
-        self.commit_mut(k).add(&task, demand);
+        self.commitments_mut(k).add(&task, demand);
         self.plan.counts.placed += 1;
         self.order_start(name, epoch, id, n, &worker);
     }
--- a/src/smoke/calls.rs
+++ b/src/smoke/calls.rs
@@ -199,12 +199,12 @@
         get_json::<serde_json::Value>(&url).await?["catalogue"]["version"].as_u64()
     }
 
-    /// Edits the catalogue every `gap` and measures the time until each edit is in force on every
-    /// entry that answers.
-    pub async fn run_edits(self: Arc<Self>, gap: Duration) {
+    /// Edits the catalogue every `interval` and measures the time until each edit is in force on
+    /// every entry that answers.
+    pub async fn run_edits(self: Arc<Self>, interval: Duration) {
         let mut n = 0;
         while !self.is_done() {
-            task::sleep(gap).await;
+            task::sleep(interval).await;
             n += 1;
             let url = format!("{}/catalogue", self.base(n));
             let Some(cat) = get_json::<Catalogue>(&url).await else { continue };
@@ -214,9 +214,9 @@
             let start = Instant::now();
             let Ok(done) = post_json::<serde_json::Value>(&url, &edit).await else { continue };
             self.edits.fetch_add(1, Ordering::Relaxed);
-            let want = done["version"].as_u64().unwrap_or(0);
+            let edited = done["version"].as_u64().unwrap_or(0);
             for e in 0..self.bases.len() {
-                while !self.is_done() && self.version(e).await.is_some_and(|v| v < want) {
+                while !self.is_done() && self.version(e).await.is_some_and(|v| v < edited) {
                     task::sleep(LOOP_INTERVAL).await;
                 }
             }
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -11,7 +11,9 @@
 use crate::standin::instances::InstanceState;
 use crate::standin::store::Object;
 use crate::standin::table::{Feed, Outcome, Txn};
-use crate::standin::tasks::{RackRoom, ShardPoll, ShardReport, StartReq, StartResult, WorkerInfo};
+use crate::standin::tasks::{
+    RackCapacity, ShardPoll, ShardReport, StartReq, StartResult, WorkerInfo,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -19,10 +21,10 @@
 use std::sync::Arc;
 
 /// Time allowed for one call to the platform, ms.
-pub const CALL_MS: u64 = 2000;
+pub const CALL_TIMEOUT_MS: u64 = 2000;
 
 /// Header that names the failure domain of the calling process.
-pub const CALLER: &str = "x-currantgw-domain";
+pub const CALLER_HEADER: &str = "x-currantgw-domain";
 
 /// Calls of this process to the platform and the bytes of their bodies, for `/debug/state`.
 #[derive(Debug, Default, Serialize)]
@@ -51,7 +53,7 @@
         /// `unavailable` or `answer_lost`.
         kind: String,
     },
-    /// No answer within [`CALL_MS`].
+    /// No answer within [`CALL_TIMEOUT_MS`].
     #[error("platform call timed out")]
     Timeout,
     /// The connection failed.
@@ -114,8 +116,8 @@
         req: surf::RequestBuilder,
     ) -> Result<T, PlatformError> {
         self.traffic.calls.fetch_add(1, Ordering::Relaxed);
-        let sent = self.clock.timeout(CALL_MS, async {
-            let mut res = req.header(CALLER, &self.domain).await.map_err(transport)?;
+        let answer = self.clock.timeout(CALL_TIMEOUT_MS, async {
+            let mut res = req.header(CALLER_HEADER, &self.domain).await.map_err(transport)?;
             let status: u16 = res.status().into();
             let text = res.body_bytes().await.map_err(transport)?;
             self.traffic.received.fetch_add(text.len() as u64, Ordering::Relaxed);
@@ -132,7 +134,7 @@
                 _ => PlatformError::Status { status, detail: kind },
             })
         });
-        sent.await.unwrap_or(Err(PlatformError::Timeout))
+        answer.await.unwrap_or(Err(PlatformError::Timeout))
     }
 
     async fn post<B: Serialize, T: DeserializeOwned>(
@@ -198,7 +200,7 @@
         self.post("/workers/start", &StartBatch { starts }).await
     }
 
-    /// Stops attempts of tasks; each result tells whether the worker was reached.
+    /// Stops attempts of tasks; each result is whether the worker was reached.
     pub async fn stop(&self, stops: Vec<StopReq>) -> Result<Vec<bool>, PlatformError> {
         self.post("/workers/stop", &StopBatch { stops }).await
     }
@@ -209,7 +211,7 @@
     }
 
     /// Free capacity per rack of `domain`, from the workers' usage.
-    pub async fn rooms(&self, domain: &str) -> Result<Vec<RackRoom>, PlatformError> {
+    pub async fn rack_capacity(&self, domain: &str) -> Result<Vec<RackCapacity>, PlatformError> {
         self.fetch(&format!("/workers/rooms?domain={domain}")).await
     }
 
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -180,7 +180,7 @@
     pub fn start(&self, reqs: &[tasks::StartReq]) -> Vec<tasks::StartResult> {
         self.tick_all();
         let now = self.clock.now();
-        let fenced: Vec<Option<tasks::StartRefusal>> = {
+        let refusals: Vec<Option<tasks::StartRefusal>> = {
             let t = self.table.lock().unwrap();
             reqs.iter()
                 .map(|r| {
@@ -188,11 +188,11 @@
                         return Some(tasks::StartRefusal::StaleEpoch);
                     }
                     let (worker, demand) = (r.worker.clone(), r.demand);
-                    let want =
+                    let expected =
                         PlaceRow { worker, epoch: r.epoch, attempt: r.attempt, demand }.value();
                     let shard = r.lease.strip_prefix(LEASE_PREFIX).unwrap_or(&r.lease);
                     match t.peek(&place_key(shard, &r.task)) {
-                        Some(row) if row.value == want => None,
+                        Some(row) if row.value == expected => None,
                         _ => Some(tasks::StartRefusal::NotPlaced),
                     }
                 })
@@ -200,7 +200,7 @@
         };
         let mut rng = rand::thread_rng();
         reqs.iter()
-            .zip(fenced)
+            .zip(refusals)
             .map(|(r, refused)| {
                 let refused = refused.or_else(|| {
                     let Some(d) = self.domains.get(Self::domain_of(&r.worker)) else {
@@ -226,7 +226,7 @@
             .collect()
     }
 
-    /// Stops attempts of tasks; each result tells whether the worker was reached.
+    /// Stops attempts of tasks; each result is whether the worker was reached.
     pub fn stop(&self, reqs: &[api::StopReq]) -> Vec<bool> {
         self.tick_all();
         let now = self.clock.now();
@@ -256,9 +256,9 @@
     }
 
     /// Free capacity per rack of a failure domain; `None` for an unknown domain.
-    pub fn rooms(&self, domain: &str) -> Option<Vec<tasks::RackRoom>> {
+    pub fn rack_capacity(&self, domain: &str) -> Option<Vec<tasks::RackCapacity>> {
         self.tick_all();
-        Some(self.domains.get(domain)?.lock().unwrap().rooms())
+        Some(self.domains.get(domain)?.lock().unwrap().rack_capacity())
     }
 
     /// The instance list as readers see it, after the configured lag.
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -5,7 +5,7 @@
 use crate::standin::api::{
     ErrorBody, FeedReq, GetReq, PollBatch, PutAnswer, ScanReq, StartBatch, StopBatch,
 };
-use crate::standin::client::CALLER;
+use crate::standin::client::CALLER_HEADER;
 use crate::standin::faults::{Fault, Target};
 use crate::standin::instances::InstanceState;
 use crate::standin::table::{Throttled, Txn};
@@ -28,7 +28,7 @@
 
 /// Failure domain of the caller, from its header; empty for operators and tests.
 fn caller(req: &Request<State>) -> String {
-    req.header(CALLER).map_or_else(String::new, |h| h.as_str().to_string())
+    req.header(CALLER_HEADER).map_or_else(String::new, |h| h.as_str().to_string())
 }
 
 /// Runs `f` under the faults of `target`: on an outage it answers 503 and does not run `f`, on a
@@ -132,17 +132,17 @@
     post(req, Target::Workers, |p, b: PollBatch| admin::json(200, &p.poll(&b.polls))).await
 }
 
-async fn rooms(req: Request<State>) -> tide::Result {
+async fn rack_capacity(req: Request<State>) -> tide::Result {
     #[derive(serde::Deserialize)]
     struct Query {
         domain: String,
     }
     let query: Query = req.query()?;
-    let rooms = |p: &Platform| match p.rooms(&query.domain) {
+    let answer = |p: &Platform| match p.rack_capacity(&query.domain) {
         Some(r) => admin::json(200, &r),
         None => error(404, "not_found", None),
     };
-    fetch(req, Target::Workers, rooms).await
+    fetch(req, Target::Workers, answer).await
 }
 
 async fn instances(req: Request<State>) -> tide::Result {
@@ -179,7 +179,7 @@
     app.at("/workers/start").post(start);
     app.at("/workers/stop").post(stop);
     app.at("/workers/poll").post(poll);
-    app.at("/workers/rooms").get(rooms);
+    app.at("/workers/rooms").get(rack_capacity);
     app.at("/instances").get(instances);
     app.at("/instances/:name").post(set_instance);
     app.at("/faults").post(add_faults);
