--- a/src/control/office.rs
+++ b/src/control/election.rs
@@ -14,7 +14,7 @@
 //! every partition, so that the progress read after that is final for all earlier terms.
 
 use super::health::Dependency;
-use super::parts::{self, Part};
+use super::partitions::{self, Part};
 use super::ports::{Change, Commit, CommitError, ReadError, Row, Store, Txn};
 use super::rows::{self, FenceRow, HolderRow};
 use super::settings::NodeSettings;
@@ -101,7 +101,7 @@
     /// Version of the leader's row: the fencing token.
     pub fence: u64,
     /// Versions of the fence rows: conditions of every commit.
-    pub parts: [u64; parts::COUNT],
+    pub parts: [u64; partitions::COUNT],
 }
 
 impl Term {
@@ -132,7 +132,7 @@
     /// Version of the heartbeat row.
     heartbeat: u64,
     /// Versions of the fence rows that are known.
-    fences: [u64; parts::COUNT],
+    fences: [u64; partitions::COUNT],
     /// When the leader or its heartbeat last changed, local ms.
     since: u64,
     /// The leader's address refuses connections, or it reports that it cannot reach the store.
--- a/src/control/engine/advice.rs
+++ b/src/control/engine/advice.rs
@@ -6,7 +6,7 @@
 
 use super::{Action, Engine, Now, RunnerKey};
 use crate::control::model::StepId;
-use crate::control::parts::Part;
+use crate::control::partitions::Part;
 use crate::control::ports::{Advice, AdviceError, Ticket};
 use crate::kernel::res::Resources;
 use std::collections::BTreeMap;
--- a/src/control/engine/ask.rs
+++ b/src/control/engine/advice_targets.rs
@@ -12,8 +12,8 @@
 //! objective before enough of them are known.
 
 use super::advice::{Kind, MAX_NAMED};
+use super::gang_reservations::GangReservations;
 use super::plan::StepView;
-use super::reserve::GangReservations;
 use super::{Engine, Now, RunnerKey};
 use crate::control::place::{self, Place, Placement};
 use crate::kernel::res::Resources;
--- a/src/control/engine/commit.rs
+++ b/src/control/engine/commit.rs
@@ -7,7 +7,7 @@
 use super::runs::Stage;
 use super::{Engine, Now};
 use crate::control::model::{JobId, JobState, StepId};
-use crate::control::parts::{self, Part, Scope};
+use crate::control::partitions::{self, Part, Scope};
 use crate::control::ports::Row;
 use crate::control::rows;
 
@@ -163,7 +163,7 @@
     }
 
     fn stored(&mut self, batch: &Batch, version: u64, now: Now) {
-        let mut rows = [0; parts::COUNT];
+        let mut rows = [0; partitions::COUNT];
         batch.writes.iter().for_each(|w| rows[Part::of(w.job).index()] += 1);
         for part in Part::all().filter(|p| rows[p.index()] > 0) {
             self.storing.record_commit(part, rows[part.index()], batch.at, now.mono);
--- a/src/control/engine/forecast.rs
+++ b/src/control/engine/forecast.rs
@@ -2,7 +2,7 @@
 
 use super::{progress, Engine, Job, Now};
 use crate::control::model::{Attempt, JobId, Step, StepId, TaskId};
-use crate::control::pace::Pace;
+use crate::control::run_times::Pace;
 
 impl Job {
     /// Computes the critical paths, ms, from the run times of completed steps, the predicted run
@@ -36,7 +36,8 @@
     pub(super) fn forecast(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let approval = self.cat.queues.get(&job.row.queue).and_then(|q| q.approval);
-        let advice_ms = approval.map_or(0, |a| a.cost_ms(super::ask::MAX_NAMED_SINGLE) as u64);
+        let advice_ms =
+            approval.map_or(0, |a| a.cost_ms(super::advice_targets::MAX_NAMED_SINGLE) as u64);
         let model = self.run_times.get(&job.row.queue).copied().unwrap_or_default();
         job.forecast(&model, advice_ms);
     }
--- a/src/control/engine/jobs.rs
+++ b/src/control/engine/jobs.rs
@@ -2,7 +2,7 @@
 
 use super::gangs::Broken;
 use super::runs::{Run, Stage};
-use super::storing::Unstored;
+use super::store_backlog::Unstored;
 use super::RunnerKey;
 use crate::control::crashes::Losses;
 use crate::control::model::{Attempt, JobId, JobState, Queue, Step, StepId, TaskId};
--- a/src/control/engine/mod.rs
+++ b/src/control/engine/mod.rs
@@ -6,10 +6,10 @@
 //! acknowledged, so that the next leader finds every task that may run anywhere.
 
 mod advice;
-mod ask;
-mod booking;
+mod advice_targets;
 mod commit;
 mod forecast;
+mod gang_reservations;
 mod gangs;
 mod jobs;
 mod lifecycle;
@@ -17,13 +17,13 @@
 mod plan;
 mod preempt;
 mod progress;
+mod progress_row;
+mod provisional;
 mod reports;
-mod reserve;
 mod round;
 mod runners;
 mod runs;
-mod stored;
-mod storing;
+mod store_backlog;
 
 pub use commit::{Batch, Outcome, Write};
 pub use jobs::{Job, StepRun, Task};
@@ -33,9 +33,9 @@
 
 use super::crashes::LossRate;
 use super::model::{Attempt, Catalogue, JobId, StepId, TaskId};
-use super::pace::Pace;
 use super::place::Placement;
 use super::ports::{Hold, Order, RunnerCall, Start};
+use super::run_times::Pace;
 use crate::arena_key;
 use crate::kernel::arena::Arena;
 use std::collections::{BTreeMap, BTreeSet};
@@ -173,13 +173,13 @@
     ended_jobs: BTreeSet<(u64, JobId)>,
     acts: Vec<Action>,
     /// Provisional reservations of gangs whose tickets are being requested.
-    provisional: BTreeMap<StepId, booking::ProvisionalReservation>,
+    provisional: BTreeMap<StepId, provisional::ProvisionalReservation>,
     /// Gangs of which a member ended because another had.
     broken_gangs: BTreeSet<StepId>,
     /// Pending advice requests.
     advice_requests: advice::AdviceRequests,
     /// Placements that are not stored yet.
-    storing: storing::Storing,
+    storing: store_backlog::Storing,
     /// Share of the named runners that each queue's policy approves on average.
     approval_rates: BTreeMap<String, advice::ApprovalRate>,
     /// Run-time model of each queue.
@@ -218,7 +218,7 @@
             provisional: BTreeMap::new(),
             broken_gangs: BTreeSet::new(),
             advice_requests: advice::AdviceRequests::default(),
-            storing: storing::Storing::default(),
+            storing: store_backlog::Storing::default(),
             approval_rates: BTreeMap::new(),
             run_times: BTreeMap::new(),
             loss_rate: LossRate::default(),
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -1,7 +1,7 @@
 //! Planning rounds: the placement of waiting tasks on runners.
 
 use super::advice::Kind;
-use super::reserve::{Backlog, GangReservations};
+use super::gang_reservations::{Backlog, GangReservations};
 use super::round::{PlanningPass, Round, MAX_CHECKS_PER_ROUND, MAX_URGENT_CHECKS};
 use super::runs::{Run, Stage};
 use super::{Engine, Now, RunnerKey, StepRun};
@@ -384,7 +384,7 @@
     /// runners, else requests them.
     fn place_reserved(&mut self, v: &StepView<'_>, now: Now) {
         let Some(runners) =
-            self.provisional.get(&v.id).map(super::booking::ProvisionalReservation::runners)
+            self.provisional.get(&v.id).map(super::provisional::ProvisionalReservation::runners)
         else {
             return;
         };
--- a/src/control/engine/preempt.rs
+++ b/src/control/engine/preempt.rs
@@ -1,13 +1,13 @@
 //! Preemption: which tasks may be stopped for a gang, and when.
 
+use super::gang_reservations::GangReservations;
 use super::plan::StepView;
 use super::progress::Progress;
-use super::reserve::GangReservations;
 use super::runs::{Stage, StopReason};
 use super::{Engine, Now, RunnerKey};
-use crate::control::evict::{self, Spot, Victim};
 use crate::control::model::TaskId;
 use crate::control::place::Place;
+use crate::control::preemption::{self, Spot, Victim};
 use crate::control::queue::Rank;
 
 /// Interval between two preemption attempts for a gang, ms: the state of its runners changes with
@@ -61,7 +61,7 @@
                 victims: self.victims(p.key, now),
             })
             .collect();
-        let Some(plan) = evict::plan(spots, &need, count) else { return false };
+        let Some(plan) = preemption::plan(spots, &need, count) else { return false };
         log::info!(step:% = v.id, members = count, stopped = plan.stops.len(), late = rank.late;
             "tasks stopped to make room for a gang");
         self.reserve_provisionally(v.id, plan.keys, need, now);
--- a/src/control/engine/round.rs
+++ b/src/control/engine/round.rs
@@ -8,7 +8,7 @@
 //! needed, and urgent steps that were opened or received advice meanwhile are planned before the
 //! rest of it. No step starves, since each pass covers all.
 
-use super::reserve::GangReservations;
+use super::gang_reservations::GangReservations;
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::StepId;
 use crate::control::queue::Rank;
--- a/src/control/engine/storing.rs
+++ b/src/control/engine/store_backlog.rs
@@ -11,7 +11,7 @@
 
 use super::{Engine, Now};
 use crate::control::model::JobId;
-use crate::control::parts::{self, Part};
+use crate::control::partitions::{self, Part};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// While a placement has waited for the store for longer than this, nothing more is decided, ms:
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Storing {
     waiting: BTreeMap<(Part, bool), BTreeSet<(u64, JobId)>>,
-    parts: [WritePerformance; parts::COUNT],
+    parts: [WritePerformance; partitions::COUNT],
 }
 
 /// Recent write performance of a partition.
--- a/src/control/front.rs
+++ b/src/control/front.rs
@@ -4,14 +4,14 @@
 //! answered from the local cache and by the leader as far as these suffice, else with an error that
 //! says when to retry.
 
-use super::intake::{Intake, Written};
-use super::links::desk::Desk;
-use super::links::peer::Peer;
+use super::links::client::Peer;
+use super::links::server::Desk;
 use super::mirror::{Mirror, Table};
 use super::model::{Catalogue, Invalid, JobId, JobState, Queue};
 use super::ports::ReadError;
-use super::pulse::Pulse;
 use super::rows::{self, JobRow};
+use super::store_health::Pulse;
+use super::submissions::{Intake, Written};
 use crate::kernel::clock::Clock;
 use crate::platform::callers;
 use std::sync::Arc;
--- a/src/control/leader/duty.rs
+++ b/src/control/leader/batching.rs
@@ -9,7 +9,7 @@
 //! `ticket or room gone before the start`.
 
 use super::{RETRY_MS, STEP_DOWN_MS};
-use crate::control::parts::{self, Part, Scope};
+use crate::control::partitions::{self, Part, Scope};
 
 /// Most transactions over all partitions in flight: one being executed, one on its way to the
 /// store, and one whose answer is on its way back.
@@ -38,9 +38,9 @@
     /// Transactions over all partitions in flight.
     joint: usize,
     /// Transactions in flight, by partition.
-    in_flight: [usize; parts::COUNT],
+    in_flight: [usize; partitions::COUNT],
     /// Earliest time of the next transaction, by partition, local ms.
-    not_before: [u64; parts::COUNT],
+    not_before: [u64; partitions::COUNT],
     /// Partitions are written separately until this time, local ms.
     separate_until: u64,
     /// When the last acknowledged write was sent, local ms.
@@ -54,8 +54,8 @@
         Self {
             cross_part,
             joint: 0,
-            in_flight: [0; parts::COUNT],
-            not_before: [0; parts::COUNT],
+            in_flight: [0; partitions::COUNT],
+            not_before: [0; partitions::COUNT],
             separate_until: 0,
             last_ack: now,
         }
--- a/src/control/leader/calls.rs
+++ b/src/control/leader/calls.rs
@@ -2,11 +2,11 @@
 //! ends in an [`Event`].
 
 use super::{Event, Leader, HEARTBEAT_MS, RETRY_MS};
+use crate::control::election::Term;
 use crate::control::engine::{Action, Batch, Outcome};
 use crate::control::mirror::Table;
 use crate::control::model::JobId;
-use crate::control::office::Term;
-use crate::control::parts::{Part, Scope};
+use crate::control::partitions::{Part, Scope};
 use crate::control::ports::{Commit, Key, Txn};
 use crate::control::rows;
 use futures::future::{BoxFuture, FutureExt};
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -3,18 +3,18 @@
 //! All calls in flight are futures in one set that the leader polls itself. When the term ends the
 //! set is dropped, which cancels them all.
 
+mod batching;
 mod calls;
-mod duty;
 
-pub use duty::Duty;
+pub use batching::Duty;
 
+use super::election::{Office, Term, HEARTBEAT_MS};
 use super::engine::{Batch, Engine, Now, Outcome, Rules, RunnerKey};
 use super::health::Dependency;
-use super::links::desk::Desk;
+use super::links::server::Desk;
 use super::mirror::{Mirror, Table, Update};
 use super::model::{Attempt, JobId, JobState, StepId, TaskId};
-use super::office::{Office, Term, HEARTBEAT_MS};
-use super::parts::{self, Scope};
+use super::partitions::{self, Scope};
 use super::ports::{Advice, AdviceError, CommitError, Refusal, Report, Runners, Store};
 use crate::kernel::clock::Clock;
 use crate::kernel::stop::Stop;
@@ -35,7 +35,7 @@
 
 /// Most writes in one transaction. Each needs a condition and a write, and the store takes 100
 /// entries a transaction, of which one for each partition checks its fence.
-const BATCH_WRITES: usize = (100 - parts::COUNT) / 2;
+const BATCH_WRITES: usize = (100 - partitions::COUNT) / 2;
 
 /// Delay after a failed call to the store, ms.
 const RETRY_MS: u64 = 60;
--- a/src/control/links/peer.rs
+++ b/src/control/links/client.rs
@@ -1,12 +1,12 @@
 //! Client side of links: an instance's link to the leader.
 
 use super::{decode, encode, write_frames, Frame, Relay, LINK_TIMEOUT_MS, QUEUED_FRAMES};
-use crate::control::intake::Written;
+use crate::control::election::Office;
 use crate::control::mirror::Mirror;
 use crate::control::model::{JobId, JobState};
-use crate::control::office::Office;
 use crate::control::ports::Advisor;
-use crate::control::pulse::Pulse;
+use crate::control::store_health::Pulse;
+use crate::control::submissions::Written;
 use crate::http;
 use crate::kernel::clock::Clock;
 use async_std::channel::{self, Sender};
--- a/src/control/links/mod.rs
+++ b/src/control/links/mod.rs
@@ -7,14 +7,14 @@
 //! store refuses. An instance that doesn't cache jobs asks the leader for the state of a job and
 //! for the number of waiting jobs.
 
-pub mod desk;
-pub mod lines;
-pub mod peer;
+pub mod advice_queues;
+pub mod client;
+pub mod server;
 
 use super::model::{JobId, JobState, StepId};
 use super::ports::{Advice, AdviceError};
 use super::rows::{self, HolderRow};
-use crate::control::intake::Written;
+use crate::control::submissions::Written;
 use crate::kernel::clock::Clock;
 use async_std::channel;
 use async_std::net::TcpStream;
--- a/src/control/links/desk.rs
+++ b/src/control/links/server.rs
@@ -1,15 +1,15 @@
 //! Server side of links: connections to the advice service, job states for every instance, and
 //! writes on behalf of instances whose calls the store refuses.
 
-use super::lines::{self, Load};
+use super::advice_queues::{self, Load};
 use super::{decode, encode, write_frames, Frame, Relay, LINK_TIMEOUT_MS, QUEUED_FRAMES};
-use crate::control::intake::Intake;
+use crate::control::election::Office;
 use crate::control::mirror::Mirror;
 use crate::control::model::{JobId, JobState, StepId};
-use crate::control::office::Office;
 use crate::control::ports::{Advice, AdviceError, Advisor};
-use crate::control::pulse::Pulse;
 use crate::control::rows;
+use crate::control::store_health::Pulse;
+use crate::control::submissions::Intake;
 use crate::kernel::clock::Clock;
 use async_std::channel::{self, Sender};
 use async_std::net::{TcpListener, TcpStream};
@@ -122,7 +122,7 @@
         let (key, tx, ms) = {
             let mut links = self.links.lock().unwrap();
             let loads: Vec<Load> = links.values().map(Link::load).collect();
-            let picked = lines::pick(&loads, cost).and_then(|n| links.iter_mut().nth(n));
+            let picked = advice_queues::pick(&loads, cost).and_then(|n| links.iter_mut().nth(n));
             let (key, link) = picked.ok_or(AdviceError::Busy)?;
             link.requests.insert(id, Request { cost, done });
             (*key, link.tx.clone(), link.load().cost as u64 + ANSWER_MARGIN_MS)
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -9,10 +9,10 @@
 
 use super::health::Dependency;
 use super::model::{Catalogue, JobId, JobState};
-use super::parts::Part;
+use super::partitions::Part;
 use super::ports::{Change, Page, ReadError, RunnerEntry, Store};
-use super::pulse::Pulse;
 use super::rows::{self, JobRow, ProgressRow};
+use super::store_health::Pulse;
 use crate::kernel::clock::Clock;
 use crate::platform::{catalogue, runners};
 use async_std::channel::Sender;
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -1,16 +1,16 @@
 //! One instance of the control plane: builds and starts its components, and stops gracefully.
 
+use super::election::Office;
 use super::engine::Rules;
 use super::front::Front;
-use super::intake::{Intake, Writer};
 use super::leader::{Leader, LEASE_MS, STEP_DOWN_MS};
-use super::links::desk::{Desk, LinkAcceptor};
-use super::links::peer::Peer;
+use super::links::client::Peer;
+use super::links::server::{Desk, LinkAcceptor};
 use super::mirror::{Mirror, Table};
-use super::office::Office;
 use super::ports::{Advisor, Runners, Store};
-use super::pulse::{Pulse, Watched};
 use super::settings::NodeSettings;
+use super::store_health::{Pulse, Watched};
+use super::submissions::{Intake, Writer};
 use crate::admin::{self, Drain};
 use crate::http::{self, Conns};
 use crate::kernel::clock::Clock;
--- a/src/control/rows.rs
+++ b/src/control/rows.rs
@@ -10,7 +10,7 @@
 //! | `office` | `p0` to `p7` | `fence` | token of the leader that may write there | a new leader |
 
 use super::model::{Attempt, Invalid, JobId, JobSpec, JobState, MAX_MOMENT};
-use super::parts::Part;
+use super::partitions::Part;
 use super::ports::Key;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/src/control/intake.rs
+++ b/src/control/submissions.rs
@@ -6,13 +6,13 @@
 //! the leader.
 
 use super::health::Dependency;
-use super::links::peer::Peer;
+use super::links::client::Peer;
 use super::links::Relay;
 use super::mirror::Mirror;
 use super::model::JobId;
 use super::ports::{Commit, CommitError, Key, Store, Txn};
-use super::pulse::{Pulse, HOLD_MS};
 use super::rows::{self, JobRow};
+use super::store_health::{Pulse, HOLD_MS};
 use crate::kernel::clock::Clock;
 use async_std::channel::{self, Receiver, Sender};
 use futures::channel::oneshot;
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -24,7 +24,7 @@
 use currantgw::control::model::{
     Approval, Attempt, Catalogue, JobId, JobSpec, JobState, Queue, Step, StepId, TaskId,
 };
-use currantgw::control::parts::{self, Part, Scope};
+use currantgw::control::partitions::{self, Part, Scope};
 use currantgw::control::place::Placement;
 use currantgw::control::ports::{Advice, Refusal, Report, RunnerEntry};
 use currantgw::control::rows::{self, JobRow};
@@ -129,7 +129,7 @@
     version: u64,
     duty: Duty,
     /// When each partition of the store is free again, ms.
-    free: [u64; parts::COUNT],
+    free: [u64; partitions::COUNT],
     term: u64,
     events: BTreeMap<(u64, u64), (u64, Event)>,
     seq: u64,
@@ -208,7 +208,7 @@
             store: BTreeMap::new(),
             version: 1,
             duty: Duty::new(true, now),
-            free: [0; parts::COUNT],
+            free: [0; partitions::COUNT],
             term: 1,
             events: BTreeMap::new(),
             seq: 0,
--- a/tests/common/control/store.rs
+++ b/tests/common/control/store.rs
@@ -4,7 +4,7 @@
 use super::{Cell, Event};
 use currantgw::control::engine::{Batch, Engine, Outcome};
 use currantgw::control::model::{JobId, JobState};
-use currantgw::control::parts::{Part, Scope};
+use currantgw::control::partitions::{Part, Scope};
 use currantgw::control::ports;
 use currantgw::control::rows::{self, ProgressRow};
 use rand::Rng;
--- a/tests/control_lines.rs
+++ b/tests/control_advice_queues.rs
@@ -2,8 +2,8 @@
 //! is refused.
 
 use async_std::task;
-use currantgw::control::links::desk::Desk;
-use currantgw::control::links::lines::{self, Load};
+use currantgw::control::links::advice_queues::{self, Load};
+use currantgw::control::links::server::Desk;
 use currantgw::control::model::{JobId, StepId};
 use currantgw::control::ports::{Advice, AdviceError, Advisor};
 use currantgw::kernel::clock::Clock;
@@ -82,13 +82,13 @@
         }
         if ms % 7 == 0 {
             let all = loads(&queues);
-            let n = lines::pick(&all, LOOKUP_MS).expect("a lookup is always taken");
+            let n = advice_queues::pick(&all, LOOKUP_MS).expect("a lookup is always taken");
             worst = worst.max(all[n].cost);
             queues[n].push_back(LOOKUP_MS);
         }
         if ms % 100 == 0 {
             let all = loads(&queues);
-            match lines::pick(&all, GANG_MS) {
+            match advice_queues::pick(&all, GANG_MS) {
                 Some(n) => {
                     assert!(all[n].cost + GANG_MS <= MAX_ANSWER_MS as f64 || all[n].waiting == 0);
                     queues[n].push_back(GANG_MS);
@@ -109,7 +109,7 @@
     fn request(&mut self, cost: f64) -> Option<f64> {
         let load = |q: &VecDeque<f64>| Load { waiting: q.len(), cost: q.iter().sum() };
         let loads: Vec<Load> = self.0.iter().map(load).collect();
-        let queue = &mut self.0[lines::pick(&loads, cost)?];
+        let queue = &mut self.0[advice_queues::pick(&loads, cost)?];
         queue.push_back(cost);
         Some(queue.iter().sum())
     }
--- a/tests/control_office.rs
+++ b/tests/control_election.rs
@@ -6,9 +6,9 @@
 
 use async_std::task;
 use common::table::Table;
+use currantgw::control::election::{Office, Term};
 use currantgw::control::model::JobId;
-use currantgw::control::office::{Office, Term};
-use currantgw::control::parts::{self, Part};
+use currantgw::control::partitions::{self, Part};
 use currantgw::control::place::Placement;
 use currantgw::control::ports::{Changes, Commit, CommitError, Page, ReadError, Row, Store, Txn};
 use currantgw::control::rows::{self, FenceRow, HolderRow};
@@ -91,7 +91,7 @@
     });
     let term = office.campaign(|| false, || able.load(Ordering::Relaxed)).await;
     let waited = setter.await.elapsed().as_millis() as u64;
-    assert_eq!(term, Term { fence: FENCE, parts: [FENCE; parts::COUNT] });
+    assert_eq!(term, Term { fence: FENCE, parts: [FENCE; partitions::COUNT] });
     assert!(waited < ELECTED_MS, "elected {waited} ms after it could be");
 }
 
--- a/tests/control_leader.rs
+++ b/tests/control_leader.rs
@@ -1,20 +1,20 @@
 //! The leader beside the other tasks of its process.
 
+use currantgw::control::election::{Office, Term};
 use currantgw::control::engine::Rules;
 use currantgw::control::leader::Leader;
-use currantgw::control::links::desk::Desk;
+use currantgw::control::links::server::Desk;
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobSpec, Step};
-use currantgw::control::office::{Office, Term};
-use currantgw::control::parts;
+use currantgw::control::partitions;
 use currantgw::control::place::Placement;
 use currantgw::control::ports::{
     Changes, Commit, CommitError, Hold, Key, Order, Page, ReadError, Refusal, Report, Row,
     RunnerCall, Runners, Start, Store, Txn,
 };
-use currantgw::control::pulse::Pulse;
 use currantgw::control::rows::{self, JobRow};
 use currantgw::control::settings::NodeSettings;
+use currantgw::control::store_health::Pulse;
 use currantgw::kernel::clock::Clock;
 use currantgw::kernel::stop;
 use futures::task;
@@ -168,7 +168,7 @@
     let clock = Clock::real();
     let (_trigger, stop) = stop::pair();
     let leader = leader(&clock, Arc::default());
-    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; parts::COUNT] }, &stop));
+    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; partitions::COUNT] }, &stop));
     longest_poll(&mut serve, Duration::from_millis(200));
     for id in 0..EVENTS {
         leader.mirror.put_cancel(JobId(id));
@@ -185,7 +185,7 @@
     let store = Arc::new(Empty::default());
     let leader = leader(&clock, store.clone());
     async_std::task::block_on(leader.mirror.poll(Table::Config, 0)).unwrap();
-    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; parts::COUNT] }, &stop));
+    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; partitions::COUNT] }, &stop));
     longest_poll(&mut serve, Duration::from_millis(100));
     let steps = vec![Step { count: 1, ..Step::default() }];
     let spec = JobSpec { steps, ..JobSpec::default() };
--- a/tests/control_mirror.rs
+++ b/tests/control_mirror.rs
@@ -6,8 +6,8 @@
 use currantgw::control::ports::{
     Change, Changes, Commit, CommitError, Page, ReadError, Row, Store, Txn,
 };
-use currantgw::control::pulse::Pulse;
 use currantgw::control::rows::{self, JobRow, ProgressRow};
+use currantgw::control::store_health::Pulse;
 use currantgw::kernel::clock::Clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/tests/control_path.rs
+++ b/tests/control_path.rs
@@ -9,7 +9,7 @@
 use async_std::task;
 use common::users::{self, Cell, StoreMode};
 use currantgw::control::mirror::{Mirror, Table};
-use currantgw::control::pulse::Pulse;
+use currantgw::control::store_health::Pulse;
 use currantgw::kernel::clock::Clock;
 use serde_json::json;
 use std::sync::Arc;
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -8,13 +8,13 @@
 
 use assert_matches::assert_matches;
 use common::control::{step, Cell};
+use currantgw::control::election;
 use currantgw::control::engine::{Engine, Now};
-use currantgw::control::evict::{self, Spot, Victim};
-use currantgw::control::links::lines;
+use currantgw::control::links::advice_queues;
 use currantgw::control::model::{BadId, Invalid, JobId, JobState, Step, TaskId};
-use currantgw::control::office;
-use currantgw::control::parts::Scope;
+use currantgw::control::partitions::Scope;
 use currantgw::control::place::{self, Ask, Place, Placement};
+use currantgw::control::preemption::{self, Spot, Victim};
 use currantgw::control::queue::{self, Claim};
 use currantgw::control::rows::{self, JobKey, ProgressRow, StepRow, TaskRow};
 use currantgw::control::settings::NodeSettings;
@@ -218,14 +218,14 @@
 fn preemption_for_a_gang_stops_as_little_as_possible() {
     let need = Resources { cpu: 9, mem: 0, acc: 0 };
     let spots = vec![occupied(1, 4, &[2, 5, 6]), occupied(2, 10, &[8]), occupied(3, 0, &[3, 3])];
-    let plan = evict::plan(spots.clone(), &need, 2).unwrap();
+    let plan = preemption::plan(spots.clone(), &need, 2).unwrap();
     assert_eq!(plan.keys, vec![2, 1]);
     // 5 is the smallest victim that is enough together with the 4 that are free.
     assert_eq!(plan.stops, vec![(1, 11)]);
     // A third member fits once 8 is stopped in addition to the 1 that is left.
-    let plan = evict::plan(spots.clone(), &need, 3).unwrap();
+    let plan = preemption::plan(spots.clone(), &need, 3).unwrap();
     assert_eq!(plan.stops, vec![(1, 11), (2, 20)]);
-    assert_eq!(evict::plan(spots, &need, 4), None);
+    assert_eq!(preemption::plan(spots, &need, 4), None);
 }
 
 /// Guards against a gang that requests advice some twenty times and starts after up to a minute:
@@ -425,15 +425,15 @@
 fn small_candidates_wait_for_larger_ones() {
     let (small, large, whole) = (120, 500, 1_000);
     let start_apart = 300;
-    let at_start = |size| office::small_wait(size, whole);
+    let at_start = |size| election::small_wait(size, whole);
     assert!(at_start(small) >= at_start(large) + start_apart);
-    assert!(office::small_wait(small, large) >= start_apart);
+    assert!(election::small_wait(small, large) >= start_apart);
     // Between equal sizes, and for a candidate larger than the last leader, a takeover is not
     // delayed.
-    assert_eq!(office::small_wait(250, 250), 0);
-    assert_eq!(office::small_wait(large, small), 0);
+    assert_eq!(election::small_wait(250, 250), 0);
+    assert_eq!(election::small_wait(large, small), 0);
     // A row written before sizes were stored causes no delay.
-    assert_eq!(office::small_wait(small, 0), 0);
+    assert_eq!(election::small_wait(small, 0), 0);
 }
 
 #[test]
@@ -517,10 +517,10 @@
 /// bursts, each with a request of 11 ms.
 #[test]
 fn connections_for_short_requests_grow_with_the_cell() {
-    assert_eq!([1, 3, 4, 7, 9].map(lines::short_lines), [1, 1, 2, 2, 2]);
+    assert_eq!([1, 3, 4, 7, 9].map(advice_queues::short_lines), [1, 1, 2, 2, 2]);
     let busy = 220.0 * 0.011;
-    assert!(lines::short_lines(29) as f64 >= 2.0 * busy);
-    assert!(lines::short_lines(45) <= 45 / 3);
+    assert!(advice_queues::short_lines(29) as f64 >= 2.0 * busy);
+    assert!(advice_queues::short_lines(45) <= 45 / 3);
 }
 
 /// Guards against suspects that share a runner, and against harmless tasks beside a suspect that
--- a/tests/control_storing.rs
+++ b/tests/control_store_backlog.rs
@@ -9,7 +9,7 @@
 use common::control::{queue, step, Cell, StoreTimes, RULES};
 use currantgw::control::leader::Duty;
 use currantgw::control::model::{Approval, JobId, JobState};
-use currantgw::control::parts::{Part, Scope};
+use currantgw::control::partitions::{Part, Scope};
 use currantgw::kernel::res::Resources;
 
 /// Time of a transaction of one partition and latency of a call on a healthy store, ms.
--- a/tests/control_pulse.rs
+++ b/tests/control_store_health.rs
@@ -1,6 +1,6 @@
 //! Detection of an outage of the store and of its end, on a manual clock.
 
-use currantgw::control::pulse::{Pulse, HOLD_MS};
+use currantgw::control::store_health::{Pulse, HOLD_MS};
 use currantgw::kernel::clock::Clock;
 
 fn served_at_10() -> (Clock, Pulse) {
--- a/tests/unreadable_rows.rs
+++ b/tests/unreadable_rows.rs
@@ -8,8 +8,8 @@
 use currantgw::control::ports::{
     Change, Changes, Commit, CommitError, Key, Page, ReadError, Row, Store, Txn,
 };
-use currantgw::control::pulse::Pulse;
 use currantgw::control::rows::{self, BadRow, HolderRow, JobRow, ProgressRow, StepRow, TaskRow};
+use currantgw::control::store_health::Pulse;
 use currantgw::kernel::clock::Clock;
 use proptest::prelude::*;
 use serde::de::DeserializeOwned;
