--- a/tests/control_advice_queues.rs
+++ b/tests/control_advice_queues.rs
@@ -2,8 +2,8 @@
 //! is refused.
 
 use async_std::task;
-use currantgw::control::links::advice_queues::{self, Load};
-use currantgw::control::links::server::Desk;
+use currantgw::control::links::advice_queues::{self, QueueLoad};
+use currantgw::control::links::server::LinkServer;
 use currantgw::control::model::{JobId, StepId};
 use currantgw::control::ports::{Advice, AdviceError, Advisor};
 use currantgw::kernel::clock::Clock;
@@ -26,7 +26,7 @@
 
 #[tide::utils::async_trait]
 impl Advisor for Serial {
-    async fn ask(&self, _: StepId, _: &[String], ms: u64) -> Result<Advice, AdviceError> {
+    async fn request(&self, _: StepId, _: &[String], ms: u64) -> Result<Advice, AdviceError> {
         let served = async {
             let _turn = self.0.lock().await;
             task::sleep(Duration::from_millis(GANG_MS as u64)).await;
@@ -47,9 +47,9 @@
 #[async_std::test]
 async fn a_request_that_would_be_answered_too_late_is_refused_at_once() {
     let service = Arc::new(Serial(async_std::sync::Mutex::new(())));
-    let desk = Desk::new(Some(service), Clock::real());
+    let server = LinkServer::new(Some(service), Clock::real());
     let began = Instant::now();
-    let requests = (0..20).map(|n| desk.request(step(n), Vec::new(), GANG_MS));
+    let requests = (0..20).map(|n| server.request(step(n), Vec::new(), GANG_MS));
     let answers = join_all(requests).await;
     let given = answers.iter().filter(|a| a.is_ok()).count();
     let refused = answers.iter().filter(|a| **a == Err(AdviceError::Busy)).count();
@@ -64,9 +64,11 @@
 #[test]
 fn lookups_take_the_shortest_queue() {
     let mut queues: Vec<VecDeque<f64>> = vec![VecDeque::new(); 29];
-    let loads = |queues: &[VecDeque<f64>]| -> Vec<Load> {
-        let load =
-            |q: &VecDeque<f64>| Load { waiting: q.len(), cost: q.iter().copied().sum::<f64>() };
+    let loads = |queues: &[VecDeque<f64>]| -> Vec<QueueLoad> {
+        let load = |q: &VecDeque<f64>| QueueLoad {
+            waiting: q.len(),
+            cost: q.iter().copied().sum::<f64>(),
+        };
         queues.iter().map(load).collect()
     };
     let (mut worst, mut refused) = (0.0_f64, 0);
@@ -82,13 +84,13 @@
         }
         if ms % 7 == 0 {
             let all = loads(&queues);
-            let n = advice_queues::pick(&all, LOOKUP_MS).expect("a lookup is always taken");
+            let n = advice_queues::pick_queue(&all, LOOKUP_MS).expect("a lookup is always taken");
             worst = worst.max(all[n].cost);
             queues[n].push_back(LOOKUP_MS);
         }
         if ms % 100 == 0 {
             let all = loads(&queues);
-            match advice_queues::pick(&all, GANG_MS) {
+            match advice_queues::pick_queue(&all, GANG_MS) {
                 Some(n) => {
                     assert!(all[n].cost + GANG_MS <= MAX_ANSWER_MS as f64 || all[n].waiting == 0);
                     queues[n].push_back(GANG_MS);
@@ -107,9 +109,9 @@
 impl Queues {
     /// Queues a request, and returns the time until its answer, ms; none if no queue takes it.
     fn request(&mut self, cost: f64) -> Option<f64> {
-        let load = |q: &VecDeque<f64>| Load { waiting: q.len(), cost: q.iter().sum() };
-        let loads: Vec<Load> = self.0.iter().map(load).collect();
-        let queue = &mut self.0[advice_queues::pick(&loads, cost)?];
+        let load = |q: &VecDeque<f64>| QueueLoad { waiting: q.len(), cost: q.iter().sum() };
+        let loads: Vec<QueueLoad> = self.0.iter().map(load).collect();
+        let queue = &mut self.0[advice_queues::pick_queue(&loads, cost)?];
         queue.push_back(cost);
         Some(queue.iter().sum())
     }
--- a/tests/control_capacity.rs
+++ b/tests/control_capacity.rs
@@ -10,7 +10,7 @@
 
 /// Changes a runner's capacity and its registry entry.
 fn resize(cell: &mut Cell, i: usize, cpu: u64) {
-    cell.runners[i].room.cpu = cpu;
+    cell.runners[i].capacity.cpu = cpu;
     cell.register(i, true);
 }
 
--- a/tests/control_crashes.rs
+++ b/tests/control_crashes.rs
@@ -71,11 +71,11 @@
 /// second are lost.
 fn losses(lost: u64, ran: &[u64]) -> Losses {
     let mut rate = LossRate::default();
-    (0..10_000 - lost).for_each(|_| rate.ended(1_000, 0));
-    (0..lost).for_each(|_| rate.lost(1_000, 0));
+    (0..10_000 - lost).for_each(|_| rate.record_end(1_000, 0));
+    (0..lost).for_each(|_| rate.record_loss(1_000, 0));
     let mut out = Losses::default();
     for (n, ms) in (1..).zip(ran) {
-        out.add(Attempt(n), RunnerKey::from(n as usize), rate.chance(*ms));
+        out.record_loss(Attempt(n), RunnerKey::from(n as usize), rate.chance(*ms));
     }
     out
 }
@@ -97,16 +97,16 @@
 #[test]
 fn after_three_losses_every_end_counts_and_a_late_end_withdraws_its_loss() {
     let mut task = losses(1_000, &[4_000; 2]);
-    task.ended(Attempt(3));
+    task.record_end(Attempt(3));
     assert_eq!(task.count, 2);
     task.withdraw(Attempt(1));
     assert_eq!(task.count, 2);
     task.withdraw(Attempt(2));
     assert_eq!(task.count, 1);
     let mut task = losses(1_000, &[4_000; 3]);
-    task.ended(Attempt(4));
+    task.record_end(Attempt(4));
     assert!(!task.crash_loop());
-    task.ended(Attempt(5));
+    task.record_end(Attempt(5));
     assert!(task.crash_loop());
 }
 
@@ -150,7 +150,7 @@
         for _ in 0..12 {
             let ms = load.rng.gen_range(1_000..6_000);
             load.run(ms);
-            load.cell.take_over();
+            load.cell.change_leader();
         }
         load.finish(40_000);
         assert_eq!(jobs.map(|id| load.cell.stored(id)), [JobState::Failed; 2], "seed {seed}");
@@ -182,7 +182,7 @@
     let job = cell.submit(1, "patient", vec![Step { lasts: true, ..step(1, 1_000, 1 << 30) }]);
     cell.run(300);
     for _ in 0..2 {
-        let on = cell.whereabouts(first(job));
+        let on = cell.runners_of(first(job));
         cell.crash_for_a_while(on[0]);
         cell.run(4_500);
     }
@@ -230,7 +230,7 @@
         let mut load = Workload::new(24, seed);
         for _ in 0..30 {
             load.run(1_500);
-            let up = (0..load.cell.runners.len()).filter(|&i| load.cell.runners[i].up);
+            let up = (0..load.cell.runners.len()).filter(|&i| load.cell.runners[i].exists);
             let up: Vec<usize> = up.collect();
             let i = up[load.rng.gen_range(0..up.len())];
             load.cell.crash_for_a_while(i);
@@ -270,11 +270,13 @@
 /// Causes a random disturbance: a leader change, an unreachable runner, a crash, or none.
 fn cause_fault(load: &mut Workload) {
     let up: Vec<usize> =
-        (0..load.cell.runners.len()).filter(|&i| load.cell.runners[i].up).collect();
+        (0..load.cell.runners.len()).filter(|&i| load.cell.runners[i].exists).collect();
     let i = up[load.rng.gen_range(0..up.len())];
     match load.rng.gen_range(0..8) {
-        0 => load.cell.take_over(),
-        1 => load.cell.runners[i].cut_until = load.cell.now + load.rng.gen_range(500..9_000),
+        0 => load.cell.change_leader(),
+        1 => {
+            load.cell.runners[i].unreachable_until = load.cell.now + load.rng.gen_range(500..9_000)
+        }
         2 => load.cell.crash_for_a_while(i),
         _ => {}
     }
--- a/tests/control_election.rs
+++ b/tests/control_election.rs
@@ -5,13 +5,13 @@
 }
 
 use async_std::task;
-use common::table::Table;
-use currantgw::control::election::{Office, Term};
+use common::table::MemoryStore;
+use currantgw::control::election::{Election, Term};
 use currantgw::control::model::JobId;
-use currantgw::control::partitions::{self, Part};
+use currantgw::control::partitions::{self, Partition};
 use currantgw::control::place::Placement;
 use currantgw::control::ports::{Changes, Commit, CommitError, Page, ReadError, Row, Store, Txn};
-use currantgw::control::rows::{self, FenceRow, HolderRow};
+use currantgw::control::rows::{self, FenceRow, LeaderRow};
 use currantgw::control::settings::NodeSettings;
 use currantgw::kernel::clock::Clock;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,8 +45,8 @@
         _: Option<&str>,
         _: usize,
     ) -> Result<Page, ReadError> {
-        let row = HolderRow { node: "n".into(), life: 1, links: None, size: 1_000 };
-        let row = Row { key: rows::holder_key(), value: rows::encode(&row), version: 5 };
+        let row = LeaderRow { node: "n".into(), life: 1, links: None, size: 1_000 };
+        let row = Row { key: rows::leader_key(), value: rows::encode(&row), version: 5 };
         Ok(Page { rows: vec![row], more: false, version: 7 })
     }
 
@@ -81,7 +81,7 @@
 /// leader, waited for a change like the later ones.
 #[async_std::test]
 async fn an_instance_that_becomes_able_is_elected_at_once() {
-    let office = Office::new(Arc::new(StaleLeader), Clock::real(), &settings());
+    let election = Election::new(Arc::new(StaleLeader), Clock::real(), &settings());
     let able = Arc::new(AtomicBool::new(false));
     let flag = able.clone();
     let setter = task::spawn(async move {
@@ -89,20 +89,20 @@
         flag.store(true, Ordering::Relaxed);
         Instant::now()
     });
-    let term = office.campaign(|| false, || able.load(Ordering::Relaxed)).await;
+    let term = election.campaign(|| false, || able.load(Ordering::Relaxed)).await;
     let waited = setter.await.elapsed().as_millis() as u64;
     assert_eq!(term, Term { fence: FENCE, parts: [FENCE; partitions::COUNT] });
     assert!(waited < ELECTED_MS, "elected {waited} ms after it could be");
 }
 
 /// Runs an instance that is able to lead as a candidate at `store`, and returns its term.
-async fn campaign(store: &Arc<Table>) -> Term {
-    let office = Office::new(store.clone(), Clock::real(), &settings());
-    office.campaign(|| false, || true).await
+async fn campaign(store: &Arc<MemoryStore>) -> Term {
+    let election = Election::new(store.clone(), Clock::real(), &settings());
+    election.campaign(|| false, || true).await
 }
 
 /// Whether a transaction with a term's fence of a partition is applied.
-async fn may_write(store: &Table, term: &Term, part: Part) -> bool {
+async fn may_write(store: &MemoryStore, term: &Term, part: Partition) -> bool {
     let expect = vec![(rows::fence_key(part), term.parts[part.index()])];
     let put = vec![(rows::progress_key(JobId(part.jobs().start().0 | 1)), Vec::new())];
     let txn = Txn { expect, put, remove: Vec::new() };
@@ -115,15 +115,15 @@
 /// successor.
 #[async_std::test]
 async fn a_new_leader_fences_every_partition_against_the_last_one() {
-    let store = Arc::new(Table::default());
+    let store = Arc::new(MemoryStore::default());
     let first = campaign(&store).await;
-    for part in Part::all() {
+    for part in Partition::all() {
         assert!(may_write(&store, &first, part).await);
     }
     // Another incarnation of the same instance doesn't wait for missing heartbeats.
     let second = campaign(&store).await;
     assert!(second.fence > first.fence && second.version() > first.version());
-    for part in Part::all() {
+    for part in Partition::all() {
         assert!(!may_write(&store, &first, part).await, "{}", part.name());
         assert!(may_write(&store, &second, part).await, "{}", part.name());
     }
@@ -132,17 +132,17 @@
 /// A term doesn't begin before all partitions are fenced.
 #[async_std::test]
 async fn an_unavailable_partition_keeps_a_term_from_beginning() {
-    let store = Arc::new(Table::default());
-    let lost = Part::all().nth(3).unwrap();
-    store.lose([lost.name()]);
+    let store = Arc::new(MemoryStore::default());
+    let lost = Partition::all().nth(3).unwrap();
+    store.set_unavailable([lost.name()]);
     let waiting = {
         let store = store.clone();
         task::spawn(async move { campaign(&store).await })
     };
     task::sleep(Duration::from_millis(500)).await;
-    assert!(store.row(&rows::holder_key()).is_some());
+    assert!(store.row(&rows::leader_key()).is_some());
     assert!(store.row(&rows::fence_key(lost)).is_none());
-    store.lose([]);
+    store.set_unavailable([]);
     let term = waiting.await;
     assert!(may_write(&store, &term, lost).await);
 }
@@ -152,18 +152,18 @@
 /// must not fence it again.
 #[async_std::test]
 async fn a_fence_of_a_later_term_is_kept() {
-    let store = Arc::new(Table::default());
-    let part = Part::all().nth(5).unwrap();
-    store.lose([part.name()]);
+    let store = Arc::new(MemoryStore::default());
+    let part = Partition::all().nth(5).unwrap();
+    store.set_unavailable([part.name()]);
     let waiting = {
         let store = store.clone();
         task::spawn(async move { campaign(&store).await })
     };
     task::sleep(Duration::from_millis(300)).await;
-    let other = HolderRow { node: "other".into(), life: 1, links: None, size: 1_000 };
-    let token = store.put(rows::holder_key(), rows::encode(&other));
+    let other = LeaderRow { node: "other".into(), life: 1, links: None, size: 1_000 };
+    let token = store.put(rows::leader_key(), rows::encode(&other));
     let fenced = store.put(rows::fence_key(part), rows::encode(&FenceRow(token)));
-    store.lose([]);
+    store.set_unavailable([]);
     task::sleep(Duration::from_millis(500)).await;
     assert_eq!(store.row(&rows::fence_key(part)).unwrap().version, fenced);
     waiting.cancel().await;
@@ -173,8 +173,8 @@
 #[async_std::test]
 async fn an_unreadable_or_impossible_fence_is_replaced() {
     for value in [rows::encode(&FenceRow(u64::MAX)), b"junk".to_vec()] {
-        let store = Arc::new(Table::default());
-        let part = Part::all().nth(5).unwrap();
+        let store = Arc::new(MemoryStore::default());
+        let part = Partition::all().nth(5).unwrap();
         store.put(rows::fence_key(part), value);
         let term = campaign(&store).await;
         assert!(may_write(&store, &term, part).await);
--- a/tests/control_engine.rs
+++ b/tests/control_engine.rs
@@ -18,7 +18,7 @@
 }
 
 fn first(cell: &Cell, job: JobId) -> usize {
-    cell.whereabouts(task(job, 0))[0]
+    cell.runners_of(task(job, 0))[0]
 }
 
 #[test]
@@ -28,7 +28,7 @@
     let job = cell.submit(1, "patient", vec![step(3, 1_000, 200), second]);
     cell.run(250);
     let next = TaskId { step: StepId { job, occurrence: 0, step: 1 }, index: 0 };
-    assert!(cell.whereabouts(next).is_empty());
+    assert!(cell.runners_of(next).is_empty());
     cell.run(1_500);
     assert_eq!(cell.stored(job), JobState::Completed);
     cell.check();
@@ -43,7 +43,7 @@
     let job = cell.submit(1, "patient", vec![step(20, 1_500, 3_000)]);
     cell.run(500);
     assert_eq!(cell.running(), 20);
-    cell.take_over();
+    cell.change_leader();
     cell.run(4_000);
     assert_eq!(cell.engine.counts.written_off, 0);
     assert_eq!(cell.stored(job), JobState::Completed);
@@ -59,11 +59,11 @@
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 60_000)]);
     cell.run(300);
     let here = first(&cell, job);
-    cell.runners[here].cut_until = cell.now + 60_000;
+    cell.runners[here].unreachable_until = cell.now + 60_000;
     cell.run(7_000);
-    assert_eq!(cell.whereabouts(task(job, 0)), vec![here]);
+    assert_eq!(cell.runners_of(task(job, 0)), vec![here]);
     cell.run(4_000);
-    assert_eq!(cell.whereabouts(task(job, 0)), vec![1 - here]);
+    assert_eq!(cell.runners_of(task(job, 0)), vec![1 - here]);
     cell.check();
 }
 
@@ -74,7 +74,7 @@
 fn a_job_whose_start_was_not_answered_still_counts_as_waiting() {
     let mut cell = Cell::new(1, 31);
     cell.run(300);
-    cell.runners[0].cut_until = cell.now + 4_000;
+    cell.runners[0].unreachable_until = cell.now + 4_000;
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 500)]);
     cell.run(1_500);
     assert!(cell.starts.is_empty());
@@ -92,7 +92,7 @@
 fn an_unanswered_start_keeps_other_tasks_off_the_runner() {
     let mut cell = Cell::new(2, 32);
     cell.run(300);
-    cell.runners[0].cut_until = cell.now + 30_000;
+    cell.runners[0].unreachable_until = cell.now + 30_000;
     for n in 0..40 {
         cell.submit(n + 1, "urgent", vec![step(1, 300, 200)]);
         cell.run(50);
@@ -111,12 +111,12 @@
     let job = cell.submit(1, "patient", vec![step(1, 1_000, 60_000)]);
     cell.run(300);
     let here = first(&cell, job);
-    cell.runners[here].cut_until = cell.now + 60_000;
-    cell.take_over();
+    cell.runners[here].unreachable_until = cell.now + 60_000;
+    cell.change_leader();
     cell.run(17_000);
     assert_eq!(cell.starts[&task(job, 0)], 1);
     cell.run(3_000);
-    assert_eq!(cell.whereabouts(task(job, 0)), vec![1 - here]);
+    assert_eq!(cell.runners_of(task(job, 0)), vec![1 - here]);
     cell.check();
 }
 
@@ -131,7 +131,7 @@
     cell.crash(here);
     cell.runners[here].replaced = true;
     cell.run(1_000);
-    assert_eq!(cell.whereabouts(task(job, 0)), vec![1 - here]);
+    assert_eq!(cell.runners_of(task(job, 0)), vec![1 - here]);
     cell.check();
 }
 
@@ -185,7 +185,7 @@
             cell.submit(n + 1, "patient", vec![step(4, 1_500, 400)]);
             cell.run(300);
             if n % 5 == 4 {
-                cell.take_over();
+                cell.change_leader();
             }
         }
         cell.faults = Faults::default();
@@ -245,7 +245,7 @@
 #[test]
 fn a_runner_that_fails_every_task_is_avoided() {
     let mut cell = Cell::new(6, 9);
-    cell.runners[0].fails = true;
+    cell.runners[0].failing = true;
     for n in 0..100 {
         cell.submit(n + 1, "urgent", vec![step(2, 1_000, 200)]);
         cell.run(60);
@@ -266,7 +266,7 @@
     let job = cell.submit(1, "urgent", vec![step(1, 1_000, 500)]);
     cell.run(100);
     let here = first(&cell, job);
-    cell.runners[here].hangs = true;
+    cell.runners[here].stalled = true;
     cell.run(5_000);
     assert_eq!(cell.stored(job), JobState::Completed);
     cell.check();
@@ -279,7 +279,7 @@
 #[test]
 fn members_that_wait_for_the_slowest_of_their_gang_are_not_stopped() {
     let mut cell = Cell::new(6, 21);
-    cell.uneven = 40;
+    cell.work_spread = 40;
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 8_000) }]);
     cell.run(13_000);
     assert_eq!(cell.stored(job), JobState::Completed);
@@ -295,7 +295,7 @@
     let mut cell = Cell::new(6, 5);
     let slow = 3;
     cell.run(500);
-    cell.runners[slow].cut_until = cell.now + 1_300;
+    cell.runners[slow].unreachable_until = cell.now + 1_300;
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 4_000) }]);
     cell.run(12_000);
     assert_eq!(cell.stored(job), JobState::Completed);
@@ -309,7 +309,7 @@
 #[test]
 fn a_stalled_member_moves_its_gang() {
     let mut cell = Cell::new(7, 8);
-    cell.runners[2].hangs = true;
+    cell.runners[2].stalled = true;
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 1_500) }]);
     cell.run(9_000);
     assert_eq!(cell.stored(job), JobState::Completed);
@@ -325,7 +325,7 @@
     let mut cell = Cell::new(8, 12);
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 4_000) }]);
     cell.run(2_000);
-    let gone = cell.whereabouts(task(job, 3))[0];
+    let gone = cell.runners_of(task(job, 3))[0];
     cell.crash(gone);
     cell.run(6_000);
     assert_eq!(cell.stored(job), JobState::Completed);
@@ -341,13 +341,13 @@
     let mut cell = Cell::new(8, 12);
     let job = cell.submit(1, "urgent", vec![Step { gang: true, ..step(6, 9_000, 4_000) }]);
     cell.run(1_000);
-    let first = cell.whereabouts(task(job, 0))[0];
+    let first = cell.runners_of(task(job, 0))[0];
     cell.runners[first].end(task(job, 0), EndKind::Failed);
     cell.break_gang(job, 0);
     cell.run(1_000);
-    let second = cell.whereabouts(task(job, 1))[0];
+    let second = cell.runners_of(task(job, 1))[0];
     cell.runners[second].end(task(job, 1), EndKind::Failed);
-    cell.runners[second].cut_until = cell.now + 4_000;
+    cell.runners[second].unreachable_until = cell.now + 4_000;
     cell.break_gang(job, 0);
     cell.run(3_500);
     assert_eq!(cell.running(), 0, "a third run");
@@ -366,11 +366,11 @@
     let mut runs = 0;
     for _ in 0..6 {
         cell.run(2_000);
-        let Some(&i) = cell.whereabouts(task(job, 0)).first() else { continue };
+        let Some(&i) = cell.runners_of(task(job, 0)).first() else { continue };
         runs += 1;
         assert!(runs <= 3, "a run after three failures");
         cell.runners[i].end(task(job, 0), EndKind::Failed);
-        cell.runners[i].cut_until = cell.now + 7_000;
+        cell.runners[i].unreachable_until = cell.now + 7_000;
         cell.break_gang(job, 0);
     }
     assert_eq!(runs, 3);
@@ -395,7 +395,7 @@
         cell.submit(n, "patient", vec![step(1, 1_000, 2_000)]);
     }
     cell.run(3_000);
-    cell.truth.insert(JobId(8), 400);
+    cell.work_percent.insert(JobId(8), 400);
     let gang = cell.submit(8, "patient", vec![Step { gang: true, ..step(8, 2_000, 2_000) }]);
     cell.run(10_000);
     assert_eq!(cell.stored(gang), JobState::Completed);
@@ -411,7 +411,7 @@
 #[test]
 fn one_gang_alone_does_not_correct_estimates() {
     let mut cell = Cell::new(8, 42);
-    cell.truth.insert(JobId(1), 400);
+    cell.work_percent.insert(JobId(1), 400);
     let gang = cell.submit(1, "patient", vec![Step { gang: true, ..step(8, 2_000, 2_000) }]);
     cell.run(10_000);
     assert_eq!(cell.stored(gang), JobState::Completed);
@@ -441,7 +441,7 @@
     cell.approves = |_, i| i % 3 == 0;
     let job = cell.submit(1, "asked", vec![step(8, 6_000, 500)]);
     cell.run(200);
-    assert!((0..8).flat_map(|i| cell.whereabouts(task(job, i))).all(|r| r % 3 == 0));
+    assert!((0..8).flat_map(|i| cell.runners_of(task(job, i))).all(|r| r % 3 == 0));
     cell.run(5_000);
     assert_eq!(cell.stored(job), JobState::Completed);
     cell.check();
@@ -469,10 +469,10 @@
             jobs.push(cell.submit(n + 1, queue, vec![work]));
             cell.run(rng.gen_range(50..600));
             match rng.gen_range(0..14) {
-                0 => cell.take_over(),
+                0 => cell.change_leader(),
                 1 => {
                     let i = rng.gen_range(0..cell.runners.len());
-                    cell.runners[i].cut_until = cell.now + rng.gen_range(500..9_000);
+                    cell.runners[i].unreachable_until = cell.now + rng.gen_range(500..9_000);
                 }
                 2 => {
                     let i = rng.gen_range(0..cell.runners.len());
@@ -506,7 +506,7 @@
 #[test]
 fn a_backlog_keeps_rounds_bounded_and_lookups_first_and_starves_no_step() {
     let mut cell = Cell::new(350, 1);
-    cell.lines = vec![0.0; 29];
+    cell.connections = vec![0.0; 29];
     cell.run(300);
     let queue = |id: u64| if id.is_multiple_of(2) { "patient" } else { "asked" };
     let backlog: Vec<JobId> =
@@ -545,10 +545,10 @@
     let slow = Approval { base_ms: 455.0, each_ms: 6.5, valid_ms: 2_000 };
     let quick = Approval { base_ms: 156.0, each_ms: 2.34, valid_ms: 2_000 };
     let queues = vec![queue("gangs", 1, 3, Some(slow)), queue("others", 2, 3, Some(quick))];
-    let room = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
-    let mut cell = Cell::with(RULES, 100, room, queues, 3);
-    cell.lines = vec![0.0; 4];
-    cell.engine.lines = 4;
+    let capacity = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
+    let mut cell = Cell::with(RULES, 100, capacity, queues, 3);
+    cell.connections = vec![0.0; 4];
+    cell.engine.advice_connections = 4;
     cell.run(300);
     let others: Vec<JobId> =
         (1..=20).map(|id| cell.submit(id, "others", vec![step(2, 1_000, 20_000)])).collect();
@@ -572,14 +572,15 @@
 #[test]
 fn advice_requests_of_non_urgent_steps_do_not_pile_up() {
     let mut cell = Cell::new(350, 1);
-    cell.lines = vec![0.0; 4];
-    cell.engine.lines = 4;
+    cell.connections = vec![0.0; 4];
+    cell.engine.advice_connections = 4;
     cell.run(300);
     let jobs: Vec<JobId> =
         (1..=600).map(|id| cell.submit(id, "asked", vec![step(3, 2_000, 400)])).collect();
     while cell.now < 20_000 && cell.ended.len() < 600 {
         cell.run(STEP_MS);
-        let longest = cell.lines.iter().fold(0.0, |most: f64, l| most.max(l - cell.now as f64));
+        let longest =
+            cell.connections.iter().fold(0.0, |most: f64, l| most.max(l - cell.now as f64));
         assert!(longest <= 1_000.0, "{} ms: a connection is busy for {longest} ms", cell.now);
     }
     cell.check();
--- a/tests/control_leader.rs
+++ b/tests/control_leader.rs
@@ -1,20 +1,20 @@
 //! The leader beside the other tasks of its process.
 
-use currantgw::control::election::{Office, Term};
+use currantgw::control::election::{Election, Term};
 use currantgw::control::engine::Rules;
 use currantgw::control::leader::Leader;
-use currantgw::control::links::server::Desk;
+use currantgw::control::links::server::LinkServer;
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobSpec, Step};
 use currantgw::control::partitions;
 use currantgw::control::place::Placement;
 use currantgw::control::ports::{
-    Changes, Commit, CommitError, Hold, Key, Order, Page, ReadError, Refusal, Report, Row,
-    RunnerCall, Runners, Start, Store, Txn,
+    Changes, Commit, CommitError, Key, Page, PollRequest, ReadError, Refusal, Report, Row,
+    RunnerCall, Runners, StartOrder, StopOrder, Store, Txn,
 };
 use currantgw::control::rows::{self, JobRow};
 use currantgw::control::settings::NodeSettings;
-use currantgw::control::store_health::Pulse;
+use currantgw::control::store_health::StoreHealth;
 use currantgw::kernel::clock::Clock;
 use currantgw::kernel::stop;
 use futures::task;
@@ -80,15 +80,15 @@
 
 #[tide::utils::async_trait]
 impl Runners for Unreachable {
-    async fn start(&self, _: &RunnerCall, _: &Start) -> Result<u64, Refusal> {
+    async fn start(&self, _: &RunnerCall, _: &StartOrder) -> Result<u64, Refusal> {
         Err(Refusal::Unreachable)
     }
 
-    async fn stop(&self, _: &RunnerCall, _: &Order) -> Result<u64, Refusal> {
+    async fn stop(&self, _: &RunnerCall, _: &StopOrder) -> Result<u64, Refusal> {
         Err(Refusal::Unreachable)
     }
 
-    async fn hold(&self, _: &RunnerCall, _: &Hold) -> Result<Report, Refusal> {
+    async fn poll(&self, _: &RunnerCall, _: &PollRequest) -> Result<Report, Refusal> {
         Err(Refusal::Unreachable)
     }
 }
@@ -124,19 +124,19 @@
 
 fn leader(clock: &Clock, store: Arc<Empty>) -> Leader {
     let store: Arc<dyn Store> = store;
-    let pulse = Arc::new(Pulse::new(clock.clone()));
+    let store_health = Arc::new(StoreHealth::new(clock.clone()));
     let rules = Rules {
-        hold_ms: 8_000,
-        yield_ms: 10_000,
+        lease_ms: 8_000,
+        step_down_ms: 10_000,
         keep_ms: 120_000,
         placement: Placement::default(),
     };
     Leader {
         store: store.clone(),
         runners: Arc::new(Unreachable),
-        desk: Arc::new(Desk::new(None, clock.clone())),
-        mirror: Arc::new(Mirror::new(store.clone(), pulse, clock.clone())),
-        office: Arc::new(Office::new(store, clock.clone(), &settings())),
+        server: Arc::new(LinkServer::new(None, clock.clone())),
+        mirror: Arc::new(Mirror::new(store.clone(), store_health, clock.clone())),
+        election: Arc::new(Election::new(store, clock.clone(), &settings())),
         clock: clock.clone(),
         rules,
         cross_part: true,
--- a/tests/control_links.rs
+++ b/tests/control_links.rs
@@ -14,7 +14,7 @@
 use common::users::Cell;
 use currantgw::control::node;
 use currantgw::control::place::Placement;
-use currantgw::control::rows::{self, HolderRow};
+use currantgw::control::rows::{self, LeaderRow};
 use currantgw::control::settings::NodeSettings;
 use currantgw::kernel::clock::Clock;
 use currantgw::kernel::stop::{self, Trigger};
@@ -54,7 +54,7 @@
 async fn get(req: Request<Store>) -> tide::Result {
     match arg(&req, "table").as_str() {
         rows::JOBS => task::sleep(Duration::from_millis(NO_ANSWER_MS)).await,
-        rows::OFFICE => return Ok(page(&[req.state().leader.clone()])),
+        rows::ELECTION => return Ok(page(&[req.state().leader.clone()])),
         _ => {}
     }
     Ok(page(&[]))
@@ -69,8 +69,8 @@
 impl Store {
     /// A store where another instance, with its link server at `links`, is the leader.
     fn with_leader(links: SocketAddr) -> Self {
-        let row = HolderRow { node: "other".into(), life: 1, links: Some(links), size: 500 };
-        let key = rows::holder_key();
+        let row = LeaderRow { node: "other".into(), life: 1, links: Some(links), size: 500 };
+        let key = rows::leader_key();
         let value = STANDARD.encode(rows::encode(&row));
         let leader = json!({"table": key.table, "part": key.part, "key": key.key,
             "value": value, "schema_version": 5});
--- a/tests/control_logs.rs
+++ b/tests/control_logs.rs
@@ -56,7 +56,7 @@
     cell.submit(30, "patient", vec![step(1, 100, 60_000)]);
     cell.run(500);
     count_lines();
-    cell.take_over();
+    cell.change_leader();
     assert_eq!(lines("job known to the scheduler"), 1);
 }
 
--- a/tests/control_mirror.rs
+++ b/tests/control_mirror.rs
@@ -7,7 +7,7 @@
     Change, Changes, Commit, CommitError, Page, ReadError, Row, Store, Txn,
 };
 use currantgw::control::rows::{self, JobRow, ProgressRow};
-use currantgw::control::store_health::Pulse;
+use currantgw::control::store_health::StoreHealth;
 use currantgw::kernel::clock::Clock;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -65,13 +65,16 @@
 
 /// One id in each partition of the jobs table.
 fn one_per_partition() -> Vec<JobId> {
-    (0..rows::JOB_PARTS).map(|n| JobId(n * (u64::MAX / rows::JOB_PARTS + 1) + 7)).collect()
+    (0..rows::JOB_PARTITIONS)
+        .map(|n| JobId(n * (u64::MAX / rows::JOB_PARTITIONS + 1) + 7))
+        .collect()
 }
 
 #[test]
 fn ids_spread_over_all_partitions() {
-    let parts: BTreeSet<String> = one_per_partition().into_iter().map(rows::job_part).collect();
-    assert_eq!(parts.len() as u64, rows::JOB_PARTS);
+    let parts: BTreeSet<String> =
+        one_per_partition().into_iter().map(rows::job_partition).collect();
+    assert_eq!(parts.len() as u64, rows::JOB_PARTITIONS);
 }
 
 /// Guards against an instance without jobs for many seconds when it starts while the store is slow:
@@ -81,14 +84,14 @@
     let ids = one_per_partition();
     let store = Arc::new(Slow::with_jobs(&ids));
     let clock = Clock::real();
-    let mirror = Mirror::new(store, Arc::new(Pulse::new(clock.clone())), clock);
+    let mirror = Mirror::new(store, Arc::new(StoreHealth::new(clock.clone())), clock);
     let began = Instant::now();
     assert_eq!(mirror.poll(Table::Jobs, 0).await, Ok(ids.len()));
     let answers = began.elapsed().as_millis() as u64 / ANSWER_MS;
-    assert!(answers < rows::JOB_PARTS / 4, "took {answers} times the latency");
+    assert!(answers < rows::JOB_PARTITIONS / 4, "took {answers} times the latency");
     assert!(ids.iter().all(|&id| mirror.job_state(id) == Some(JobState::Queued)));
     // Later changes are read from the feed, starting at the version of the oldest read.
-    assert_eq!(mirror.followed(Table::Jobs), Some(10));
+    assert_eq!(mirror.cached_version(Table::Jobs), Some(10));
 }
 
 /// Guards against a stored job that a new leader never places. If the partitions to read were
@@ -99,11 +102,11 @@
     let last = *one_per_partition().last().unwrap();
     let store = Arc::new(Slow::with_jobs(&[last]));
     let clock = Clock::real();
-    let mirror = Mirror::new(store.clone(), Arc::new(Pulse::new(clock.clone())), clock);
+    let mirror = Mirror::new(store.clone(), Arc::new(StoreHealth::new(clock.clone())), clock);
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert_eq!(mirror.job_state(last), Some(JobState::Queued));
     let read = store.version.load(Ordering::Relaxed) - 10;
-    assert_eq!(read, rows::JOB_PARTS, "every partition is read, whether it has rows or not");
+    assert_eq!(read, rows::JOB_PARTITIONS, "every partition is read, whether it has rows or not");
 }
 
 /// Fault of the store.
@@ -162,7 +165,7 @@
         if self.has_fault(Fault::JobRemoved) {
             return Ok(Page { version: 100, ..Page::default() });
         }
-        if self.has_fault(Fault::PartitionLost) && part == rows::part_name(0) {
+        if self.has_fault(Fault::PartitionLost) && part == rows::partition_name(0) {
             return Err(ReadError::Refused(503));
         }
         if self.has_fault(Fault::ReadsFail) {
@@ -212,7 +215,7 @@
 
 fn mirror_of(store: &Arc<Faulty>) -> Mirror {
     let clock = store.clock.clone();
-    Mirror::new(store.clone(), Arc::new(Pulse::new(clock.clone())), clock)
+    Mirror::new(store.clone(), Arc::new(StoreHealth::new(clock.clone())), clock)
 }
 
 /// Guards against a job that ended minutes ago being shown as queued, and started again by a new
@@ -255,7 +258,7 @@
     store.active.store(false, Ordering::Relaxed);
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert_eq!(mirror.job_count(), ids.len());
-    assert!(mirror.followed(Table::Jobs).is_some());
+    assert!(mirror.cached_version(Table::Jobs).is_some());
 }
 
 /// Guards against a table that is repeatedly read from its beginning. Each failed read ends an
@@ -272,7 +275,7 @@
     while began.elapsed() < Duration::from_secs(3) {
         let _ = mirror.poll(Table::Progress, 0).await;
     }
-    assert!(mirror.followed(Table::Progress).is_none(), "the table is still being read");
+    assert!(mirror.cached_version(Table::Progress).is_none(), "the table is still being read");
     assert!(store.feeds.load(Ordering::Relaxed) >= 2);
 }
 
@@ -287,7 +290,7 @@
     mirror.poll(Table::Jobs, 0).await.unwrap();
     store.active.store(true, Ordering::Relaxed);
     assert!(mirror.poll(Table::Jobs, 0).await.is_err());
-    assert!(mirror.followed(Table::Jobs).is_none());
+    assert!(mirror.cached_version(Table::Jobs).is_none());
     let read = store.reads.load(Ordering::Relaxed);
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert!(store.reads.load(Ordering::Relaxed) > read);
--- a/tests/control_naming.rs
+++ b/tests/control_naming.rs
@@ -40,8 +40,8 @@
     ];
     let mut cell = Cell::with(RULES, RUNNERS, ROOM, queues, 7);
     cell.approves = three_of_ten;
-    cell.lines = vec![0.0; LINES];
-    cell.engine.lines = LINES;
+    cell.connections = vec![0.0; LINES];
+    cell.engine.advice_connections = LINES;
     cell.run(300);
     cell
 }
@@ -59,7 +59,7 @@
     let mut cell = cell();
     let job = cell.submit(1, "gangs", vec![gang(100)]);
     cell.run(1_300);
-    assert!(cell.began.contains_key(&job), "{} requests", cell.asked.len());
+    assert!(cell.began.contains_key(&job), "{} requests", cell.requests.len());
     cell.check();
 }
 
@@ -70,7 +70,7 @@
     let job = cell.submit(1, "gangs", vec![gang(4)]);
     cell.run(1_300);
     assert!(cell.began.contains_key(&job));
-    assert_eq!(cell.asked.len(), 1);
+    assert_eq!(cell.requests.len(), 1);
     cell.check();
 }
 
@@ -88,8 +88,8 @@
     cell.run(500);
     let job = cell.submit(1, "gangs", vec![gang(110)]);
     cell.run(10_000);
-    assert!(cell.began.contains_key(&job), "{} requests", cell.asked.len());
-    let most_named = cell.asked.iter().max().copied().unwrap_or(0);
+    assert!(cell.began.contains_key(&job), "{} requests", cell.requests.len());
+    let most_named = cell.requests.iter().max().copied().unwrap_or(0);
     assert!(most_named <= MAX_NAMED, "a request names {most_named} runners");
     cell.check();
 }
@@ -109,7 +109,7 @@
     let used_runners = cell.runners.iter().filter(|r| !r.running.is_empty()).count();
     assert!(used_runners <= 75, "200 tasks, four of which fill a runner, are on {used_runners}");
     let task = |n: u64| TaskId { step: StepId { job: JobId(n), occurrence: 0, step: 0 }, index: 0 };
-    assert!((0..200).all(|n| cell.whereabouts(task(1_000 + n)).len() == 1));
+    assert!((0..200).all(|n| cell.runners_of(task(1_000 + n)).len() == 1));
     cell.check();
 }
 
@@ -125,6 +125,6 @@
     }
     cell.run(1_500);
     assert_eq!(cell.running(), 200);
-    assert!(cell.asked.len() <= 3 * 200, "{} requests for 200 lookups", cell.asked.len());
+    assert!(cell.requests.len() <= 3 * 200, "{} requests for 200 lookups", cell.requests.len());
     cell.check();
 }
--- a/tests/control_path.rs
+++ b/tests/control_path.rs
@@ -9,7 +9,7 @@
 use async_std::task;
 use common::users::{self, Cell, StoreMode};
 use currantgw::control::mirror::{Mirror, Table};
-use currantgw::control::store_health::Pulse;
+use currantgw::control::store_health::StoreHealth;
 use currantgw::kernel::clock::Clock;
 use serde_json::json;
 use std::sync::Arc;
@@ -119,8 +119,8 @@
 #[async_std::test]
 async fn the_first_row_written_after_an_empty_read_is_seen() {
     let cell = Cell::empty().await;
-    let pulse = Arc::new(Pulse::new(Clock::real()));
-    let mirror = Mirror::new(cell.store_client(), pulse, Clock::real());
+    let store_health = Arc::new(StoreHealth::new(Clock::real()));
+    let mirror = Mirror::new(cell.store_client(), store_health, Clock::real());
     mirror.poll(Table::Config, 0).await.unwrap();
     let config = json!({"version": 3, "routes": [users::route("plain", false)]});
     cell.platform.put("op", "config", &config);
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -12,10 +12,10 @@
 use currantgw::control::engine::{Engine, Now};
 use currantgw::control::links::advice_queues;
 use currantgw::control::model::{BadId, Invalid, JobId, JobState, Step, TaskId};
-use currantgw::control::partitions::Scope;
-use currantgw::control::place::{self, Ask, Place, Placement};
-use currantgw::control::preemption::{self, Spot, Victim};
-use currantgw::control::queue::{self, Claim};
+use currantgw::control::partitions::PartitionScope;
+use currantgw::control::place::{self, Candidate, Placement, PlacementRequest};
+use currantgw::control::preemption::{self, RunnerCapacity, Victim};
+use currantgw::control::queue::{self, RankInput};
 use currantgw::control::rows::{self, JobKey, ProgressRow, StepRow, TaskRow};
 use currantgw::control::settings::NodeSettings;
 use currantgw::kernel::res::Resources;
@@ -27,8 +27,8 @@
  "links": "127.0.0.1:3", "metrics": "127.0.0.1:4", "store": "127.0.0.1:5",
  "advice": "127.0.0.1:6", "hold_max_ms": 10000, "grace_ms": 6000, "keep_ms": 120000}"#;
 
-fn claim(priority: u32, begin: u64, objective: u64, chain: u64) -> Claim {
-    Claim { priority, begin, objective, chain, lead: 0 }
+fn claim(priority: u32, begin: u64, objective: u64, chain: u64) -> RankInput {
+    RankInput { priority, begin, objective, chain, capacity_wait: 0 }
 }
 
 /// A job that has been late for long ranks before a fresh one that has time; one that has just
@@ -55,13 +55,21 @@
     assert_eq!(order, [urgent, tight, late, loose, lost]);
 }
 
-fn candidate(key: u32, cpu: u64, rack: u32) -> Place<u32> {
+fn candidate(key: u32, cpu: u64, rack: u32) -> Candidate<u32> {
     let free = Resources { cpu, mem: 64_000, acc: 0 };
-    Place { key, free, rack, limit: u32::MAX, proven: false, suspects: 0, risky: false }
+    Candidate {
+        key,
+        free,
+        rack,
+        limit: u32::MAX,
+        proven: false,
+        suspects: 0,
+        repeat_suspect: false,
+    }
 }
 
-fn ask(cpu: u64) -> Ask {
-    Ask {
+fn request(cpu: u64) -> PlacementRequest {
+    PlacementRequest {
         need: Resources { cpu, mem: 100, acc: 0 },
         rack: None,
         one_rack: false,
@@ -76,9 +84,9 @@
 fn small_tasks_fill_gaps_first() {
     let mut places = vec![candidate(0, 16_000, 0), candidate(1, 1_200, 0), candidate(2, 5_000, 0)];
     let none = BTreeSet::new();
-    assert_eq!(place::one(&mut places, &ask(1_000), &none, false), Some(1));
-    assert_eq!(place::one(&mut places, &ask(1_000), &none, false), Some(2));
-    let gang = place::all(&mut places, &ask(4_500), 3, &none);
+    assert_eq!(place::place_one(&mut places, &request(1_000), &none, false), Some(1));
+    assert_eq!(place::place_one(&mut places, &request(1_000), &none, false), Some(2));
+    let gang = place::place_all(&mut places, &request(4_500), 3, &none);
     assert_eq!(gang, Some(vec![0, 0, 0]));
 }
 
@@ -87,16 +95,16 @@
     let mut places = vec![candidate(0, 1_000, 0), candidate(1, 2_000, 0), candidate(2, 9_000, 0)];
     places[2].proven = true;
     let avoid = BTreeSet::from([0]);
-    assert_eq!(place::one(&mut places, &ask(500), &avoid, true), Some(2));
+    assert_eq!(place::place_one(&mut places, &request(500), &avoid, true), Some(2));
 }
 
 #[test]
 fn all_or_nothing_and_one_rack_where_it_fits() {
     let none = BTreeSet::new();
     let mut places = vec![candidate(0, 9_000, 1), candidate(1, 4_000, 2), candidate(2, 5_000, 2)];
-    assert_eq!(place::all(&mut places.clone(), &ask(4_500), 5, &none), None);
-    let together = Ask { one_rack: true, ..ask(4_000) };
-    let placed = place::all(&mut places, &together, 2, &none).unwrap();
+    assert_eq!(place::place_all(&mut places.clone(), &request(4_500), 5, &none), None);
+    let together = PlacementRequest { one_rack: true, ..request(4_000) };
+    let placed = place::place_all(&mut places, &together, 2, &none).unwrap();
     assert!(placed == vec![1, 2] || placed == vec![2, 1] || placed == vec![0, 0], "{placed:?}");
     assert!(!placed.contains(&0) || placed.iter().all(|k| *k == 0));
 }
@@ -106,7 +114,8 @@
     let mut places = vec![candidate(0, 16_000, 0), candidate(1, 16_000, 0)];
     places.iter_mut().for_each(|p| p.limit = 2);
     let none = BTreeSet::new();
-    let all: Vec<_> = (0..5).map(|_| place::one(&mut places, &ask(10), &none, false)).collect();
+    let all: Vec<_> =
+        (0..5).map(|_| place::place_one(&mut places, &request(10), &none, false)).collect();
     assert_eq!(all.iter().flatten().count(), 4);
 }
 
@@ -159,8 +168,8 @@
 #[test]
 fn refused_advice_requests_back_off() {
     let mut cell = Cell::new(40, 31);
-    cell.lines = vec![0.0; 2];
-    cell.depth = 4.0;
+    cell.connections = vec![0.0; 2];
+    cell.queue_limit = 4.0;
     for n in 0..300 {
         cell.submit(n + 1, "asked", vec![step(1, 1_000, 500)]);
     }
@@ -207,11 +216,11 @@
     cell.check();
 }
 
-fn occupied(key: u32, free: u64, victims: &[u64]) -> Spot<u32, u32> {
-    let room = |cpu: u64| Resources { cpu, mem: 1_000, acc: 0 };
-    let victim = |(i, cpu): (usize, &u64)| Victim { id: key * 10 + i as u32, need: room(*cpu) };
+fn occupied(key: u32, free: u64, victims: &[u64]) -> RunnerCapacity<u32, u32> {
+    let capacity = |cpu: u64| Resources { cpu, mem: 1_000, acc: 0 };
+    let victim = |(i, cpu): (usize, &u64)| Victim { id: key * 10 + i as u32, need: capacity(*cpu) };
     let victims = victims.iter().enumerate().map(victim).collect();
-    Spot { key, free: room(free), limit: u32::MAX, victims }
+    RunnerCapacity { key, free: capacity(free), limit: u32::MAX, victims }
 }
 
 #[test]
@@ -240,14 +249,14 @@
     cell.run(600);
     let gang = Step { gang: true, ..step(4, 7_000, 500) };
     let job = cell.submit(500, "asked", vec![gang]);
-    let before = cell.asked.len();
+    let before = cell.requests.len();
     for n in 0..30 {
         cell.submit(1_000 + n, "patient", vec![step(3, 4_000, 900)]);
         cell.run(120);
     }
     cell.run(4_000);
     assert_eq!(cell.stored(job), JobState::Completed);
-    assert!(cell.asked.len() - before <= 3, "{:?}", &cell.asked[before..]);
+    assert!(cell.requests.len() - before <= 3, "{:?}", &cell.requests[before..]);
     cell.check();
 }
 
@@ -259,7 +268,7 @@
         cell.submit(n + 1, "asked", vec![step(2, 1_000, 200)]);
         cell.run(100);
     }
-    let last = &cell.asked[cell.asked.len() - 10..];
+    let last = &cell.requests[cell.requests.len() - 10..];
     assert!(last.iter().all(|n| *n <= 6), "{last:?}");
 }
 
@@ -278,10 +287,10 @@
     let urgent = cell.submit(u64::MAX, "urgent", vec![step(1, 1_000, 100)]);
     cell.engine.plan(now);
     let mut missing: BTreeSet<JobId> = (1..=90).map(JobId).collect();
-    let batch = cell.engine.take_batch(Scope::All, 48, now);
+    let batch = cell.engine.take_batch(PartitionScope::All, 48, now);
     assert_eq!(batch.writes.len(), 48);
     assert!(batch.writes.iter().any(|w| w.job == urgent));
-    let rest = cell.engine.take_batch(Scope::All, 48, now);
+    let rest = cell.engine.take_batch(PartitionScope::All, 48, now);
     for w in batch.writes.iter().chain(&rest.writes) {
         missing.remove(&w.job);
     }
@@ -373,9 +382,9 @@
     assert_eq!(rows::decode::<ProgressRow>(&rows::encode(&row)).unwrap(), row);
     assert!(rows::decode::<ProgressRow>(b"junk").is_err());
     let id = JobId(0xa1);
-    assert_eq!(rows::job_of(&rows::job_key(id).key), Some(JobKey::Job(id)));
-    assert_eq!(rows::job_of(&rows::cancel_key(id).key), Some(JobKey::Cancel(id)));
-    assert_eq!(rows::job_of("something"), None);
+    assert_eq!(rows::parse_job_key(&rows::job_key(id).key), Some(JobKey::Job(id)));
+    assert_eq!(rows::parse_job_key(&rows::cancel_key(id).key), Some(JobKey::Cancel(id)));
+    assert_eq!(rows::parse_job_key("something"), None);
 }
 
 #[test]
@@ -425,15 +434,15 @@
 fn small_candidates_wait_for_larger_ones() {
     let (small, large, whole) = (120, 500, 1_000);
     let start_apart = 300;
-    let at_start = |size| election::small_wait(size, whole);
+    let at_start = |size| election::size_delay_ms(size, whole);
     assert!(at_start(small) >= at_start(large) + start_apart);
-    assert!(election::small_wait(small, large) >= start_apart);
+    assert!(election::size_delay_ms(small, large) >= start_apart);
     // Between equal sizes, and for a candidate larger than the last leader, a takeover is not
     // delayed.
-    assert_eq!(election::small_wait(250, 250), 0);
-    assert_eq!(election::small_wait(large, small), 0);
+    assert_eq!(election::size_delay_ms(250, 250), 0);
+    assert_eq!(election::size_delay_ms(large, small), 0);
     // A row written before sizes were stored causes no delay.
-    assert_eq!(election::small_wait(small, 0), 0);
+    assert_eq!(election::size_delay_ms(small, 0), 0);
 }
 
 #[test]
@@ -508,7 +517,7 @@
         "sequence":4}"#;
     let e = runners::entry(body).unwrap();
     assert!(e.draining && e.labels.contains("a"));
-    assert_eq!((e.rack.as_str(), e.room.mem), ("r1-3", 32_768));
+    assert_eq!((e.rack.as_str(), e.capacity.mem), ("r1-3", 32_768));
     assert!(runners::entry(b"{}").is_err());
 }
 
@@ -517,10 +526,10 @@
 /// bursts, each with a request of 11 ms.
 #[test]
 fn connections_for_short_requests_grow_with_the_cell() {
-    assert_eq!([1, 3, 4, 7, 9].map(advice_queues::short_lines), [1, 1, 2, 2, 2]);
+    assert_eq!([1, 3, 4, 7, 9].map(advice_queues::short_queues), [1, 1, 2, 2, 2]);
     let busy = 220.0 * 0.011;
-    assert!(advice_queues::short_lines(29) as f64 >= 2.0 * busy);
-    assert!(advice_queues::short_lines(45) <= 45 / 3);
+    assert!(advice_queues::short_queues(29) as f64 >= 2.0 * busy);
+    assert!(advice_queues::short_queues(45) <= 45 / 3);
 }
 
 /// Guards against suspects that share a runner, and against harmless tasks beside a suspect that
@@ -530,9 +539,9 @@
     let none = BTreeSet::new();
     let mut places = vec![candidate(1, 2_000, 0), candidate(2, 4_000, 0), candidate(3, 6_000, 0)];
     places[0].suspects = 1;
-    let suspect = Ask { suspect: true, ..ask(1_000) };
-    assert_eq!(place::one(&mut places, &suspect, &none, false), Some(2));
-    assert_eq!(place::one(&mut places, &suspect, &none, false), Some(3));
-    places[0].risky = true;
-    assert_eq!(place::one(&mut places, &ask(1_000), &none, false), Some(2));
+    let suspect = PlacementRequest { suspect: true, ..request(1_000) };
+    assert_eq!(place::place_one(&mut places, &suspect, &none, false), Some(2));
+    assert_eq!(place::place_one(&mut places, &suspect, &none, false), Some(3));
+    places[0].repeat_suspect = true;
+    assert_eq!(place::place_one(&mut places, &request(1_000), &none, false), Some(2));
 }
--- a/tests/control_provisional.rs
+++ b/tests/control_provisional.rs
@@ -20,7 +20,7 @@
     let slow = Approval { base_ms: ANSWER_MS, each_ms: 0.1, valid_ms: 2_000 };
     let queues = vec![queue("urgent", 0, 2, None), queue("asked", 1, 3, Some(slow))];
     let mut cell = Cell::with(RULES, 4, CAPACITY, queues, 7);
-    cell.lines = vec![0.0; 4];
+    cell.connections = vec![0.0; 4];
     cell.run(300);
     cell
 }
@@ -45,7 +45,7 @@
         cell.submit(200 + n, "urgent", vec![step(1, 16_000, 5_000)]);
     }
     cell.run(6_000);
-    assert_eq!(cell.stored(job), JobState::Completed, "asked {} times", cell.asked.len());
+    assert_eq!(cell.stored(job), JobState::Completed, "asked {} times", cell.requests.len());
     cell.check();
 }
 
@@ -60,7 +60,7 @@
     let gang = Step { gang: true, ..step(4, 16_000, 2_000) };
     cell.submit(1, "asked", vec![gang]);
     cell.run(4_000);
-    cell.lines = vec![f64::from(u32::MAX); 4];
+    cell.connections = vec![f64::from(u32::MAX); 4];
     cell.run(2_000);
     let other = cell.submit(200, "urgent", vec![step(1, 16_000, 500)]);
     cell.run(3_000);
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -9,13 +9,13 @@
 
 use async_std::task;
 use common::narrow::Link;
-use common::table::Table as Rows;
+use common::table::MemoryStore;
 use common::users::{Cell, StoreMode};
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobSpec, JobState, Step};
 use currantgw::control::ports::{Changes, Commit, CommitError, Page, ReadError, Store, Txn};
 use currantgw::control::rows::{self, JobRow};
-use currantgw::control::store_health::Pulse;
+use currantgw::control::store_health::StoreHealth;
 use currantgw::kernel::clock::Clock;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -126,7 +126,7 @@
 }
 
 /// A store whose feed answers after 200 ms.
-struct SlowFeed(Rows);
+struct SlowFeed(MemoryStore);
 
 #[tide::utils::async_trait]
 impl Store for SlowFeed {
@@ -156,15 +156,15 @@
 /// once jobs are cached again.
 #[async_std::test]
 async fn a_feed_answer_from_before_jobs_were_dropped_is_ignored() {
-    let rows = Rows::default();
+    let rows = MemoryStore::default();
     let spec = JobSpec { steps: vec![Step { count: 1, ..Step::default() }], ..JobSpec::default() };
     let row = rows::encode(&JobRow { queue: "q".into(), at: 1, spec });
     for id in ids() {
         rows.put(rows::job_key(id), row.clone());
     }
     let clock = Clock::real();
-    let pulse = Arc::new(Pulse::new(clock.clone()));
-    let mirror = Arc::new(Mirror::new(Arc::new(SlowFeed(rows)), pulse, clock));
+    let store_health = Arc::new(StoreHealth::new(clock.clone()));
+    let mirror = Arc::new(Mirror::new(Arc::new(SlowFeed(rows)), store_health, clock));
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert_eq!(mirror.job_count() as u64, JOBS);
     let polling = {
@@ -175,7 +175,7 @@
     mirror.set_cache_jobs(false);
     mirror.set_cache_jobs(true);
     let _ = polling.await;
-    assert_eq!(mirror.followed(Table::Jobs), None);
+    assert_eq!(mirror.cached_version(Table::Jobs), None);
     mirror.poll(Table::Jobs, 0).await.unwrap();
     assert_eq!(mirror.job_count() as u64, JOBS);
     assert_eq!(mirror.find_job(ids()[3]).await, Ok(Some(JobState::Queued)));
--- a/tests/control_store_backlog.rs
+++ b/tests/control_store_backlog.rs
@@ -7,9 +7,9 @@
 }
 
 use common::control::{queue, step, Cell, StoreTimes, RULES};
-use currantgw::control::leader::Duty;
+use currantgw::control::leader::CommitBatching;
 use currantgw::control::model::{Approval, JobId, JobState};
-use currantgw::control::partitions::{Part, Scope};
+use currantgw::control::partitions::{Partition, PartitionScope};
 use currantgw::kernel::res::Resources;
 
 /// Time of a transaction of one partition and latency of a call on a healthy store, ms.
@@ -24,15 +24,19 @@
 /// Approval costs of the queue of lookups: a request takes 30 ms.
 const LOOKUPS: Approval = Approval { base_ms: 20.0, each_ms: 1.0, valid_ms: 2_000 };
 
-fn part(n: usize) -> Part {
-    Part::all().nth(n).unwrap()
+fn part(n: usize) -> Partition {
+    Partition::all().nth(n).unwrap()
 }
 
 /// Starts commits until no more may be sent at `now`.
-fn start_commits(duty: &mut Duty, wants: impl Fn(Part) -> bool, now: u64) -> Vec<Scope> {
+fn start_commits(
+    batching: &mut CommitBatching,
+    wants: impl Fn(Partition) -> bool,
+    now: u64,
+) -> Vec<PartitionScope> {
     let mut out = Vec::new();
-    while let Some(scope) = duty.next(&wants, now) {
-        duty.commits(scope, now);
+    while let Some(scope) = batching.next(&wants, now) {
+        batching.record_sent(scope, now);
         out.push(scope);
     }
     out
@@ -40,77 +44,82 @@
 
 #[test]
 fn a_quick_store_takes_all_parts_in_one_transaction() {
-    let mut duty = Duty::new(true, 0);
-    assert!(duty.next(|_| false, 0).is_none());
-    assert_eq!(start_commits(&mut duty, |_| true, 0), [Scope::All; 3]);
-    duty.committed(Scope::All, true, 0, QUICK_MS);
-    assert_eq!(start_commits(&mut duty, |p| p == part(3), QUICK_MS), [Scope::All]);
+    let mut batching = CommitBatching::new(true, 0);
+    assert!(batching.next(|_| false, 0).is_none());
+    assert_eq!(start_commits(&mut batching, |_| true, 0), [PartitionScope::All; 3]);
+    batching.record_outcome(PartitionScope::All, true, 0, QUICK_MS);
+    assert_eq!(start_commits(&mut batching, |p| p == part(3), QUICK_MS), [PartitionScope::All]);
 }
 
 /// Guards against placements that wait for seconds on a store sixty times too slow: a commit takes
 /// 0.5 s, and transactions of different partitions need not wait for each other.
 #[test]
 fn a_slow_store_takes_each_part_by_itself() {
-    let mut duty = Duty::new(true, 0);
-    duty.commits(Scope::All, 0);
-    duty.committed(Scope::All, true, 0, QUICK_MS + 1);
+    let mut batching = CommitBatching::new(true, 0);
+    batching.record_sent(PartitionScope::All, 0);
+    batching.record_outcome(PartitionScope::All, true, 0, QUICK_MS + 1);
     let now = 60;
     // One commit of each partition, a second one a moment later, and no more: further ones would
     // only queue in the store.
-    let sent = start_commits(&mut duty, |_| true, now);
-    assert_eq!(sent, Part::all().map(Scope::One).collect::<Vec<_>>());
-    assert_eq!(start_commits(&mut duty, |_| true, now + 20).len(), sent.len());
-    assert!(start_commits(&mut duty, |_| true, now + 100).is_empty());
+    let sent = start_commits(&mut batching, |_| true, now);
+    assert_eq!(sent, Partition::all().map(PartitionScope::One).collect::<Vec<_>>());
+    assert_eq!(start_commits(&mut batching, |_| true, now + 20).len(), sent.len());
+    assert!(start_commits(&mut batching, |_| true, now + 100).is_empty());
     // Once the store has been quick for a while, all partitions go into one transaction again.
     for _ in 0..2 {
-        Part::all().for_each(|p| duty.committed(Scope::One(p), true, now + 190, now + 200));
+        Partition::all().for_each(|p| {
+            batching.record_outcome(PartitionScope::One(p), true, now + 190, now + 200)
+        });
     }
-    assert_eq!(start_commits(&mut duty, |_| true, 2_060), [Scope::All; 3]);
+    assert_eq!(start_commits(&mut batching, |_| true, 2_060), [PartitionScope::All; 3]);
 }
 
 /// An unavailable partition delays only its own changes, and is tried again after a short delay.
 #[test]
 fn an_unavailable_part_delays_only_itself() {
-    let mut duty = Duty::new(true, 0);
-    duty.commits(Scope::All, 0);
-    duty.committed(Scope::All, false, 0, 900);
-    assert_eq!(start_commits(&mut duty, |_| true, 960).len(), Part::all().count());
-    for p in Part::all() {
-        duty.committed(Scope::One(p), p != part(0), 960, 970);
+    let mut batching = CommitBatching::new(true, 0);
+    batching.record_sent(PartitionScope::All, 0);
+    batching.record_outcome(PartitionScope::All, false, 0, 900);
+    assert_eq!(start_commits(&mut batching, |_| true, 960).len(), Partition::all().count());
+    for p in Partition::all() {
+        batching.record_outcome(PartitionScope::One(p), p != part(0), 960, 970);
     }
-    let sent = start_commits(&mut duty, |_| true, 1_000);
-    assert!(!sent.contains(&Scope::One(part(0))) && sent.len() == Part::all().count() - 1);
-    assert!(start_commits(&mut duty, |p| p == part(0), 1_030).contains(&Scope::One(part(0))));
+    let sent = start_commits(&mut batching, |_| true, 1_000);
+    assert!(
+        !sent.contains(&PartitionScope::One(part(0))) && sent.len() == Partition::all().count() - 1
+    );
+    assert!(start_commits(&mut batching, |p| p == part(0), 1_030)
+        .contains(&PartitionScope::One(part(0))));
 }
 
 /// A store that accepts no transactions over several partitions is sent none.
 #[test]
 fn parts_are_written_separately_without_cross_part_transactions() {
-    let mut duty = Duty::new(false, 0);
+    let mut batching = CommitBatching::new(false, 0);
     assert_eq!(
-        start_commits(&mut duty, |p| p.index() < 2, 0),
-        [Scope::One(part(0)), Scope::One(part(1))]
+        start_commits(&mut batching, |p| p.index() < 2, 0),
+        [PartitionScope::One(part(0)), PartitionScope::One(part(1))]
     );
 }
 
 /// Only responses of the store prolong the term of a leader.
 #[test]
 fn a_term_ends_without_responses_of_the_store() {
-    let mut duty = Duty::new(true, 0);
-    duty.commits(Scope::All, 0);
-    duty.committed(Scope::All, false, 0, 1_000);
-    assert!(!duty.over(10_000) && duty.over(10_001));
-    duty.acknowledged(5_000);
-    assert!(!duty.over(15_000) && duty.over(15_001));
+    let mut batching = CommitBatching::new(true, 0);
+    batching.record_sent(PartitionScope::All, 0);
+    batching.record_outcome(PartitionScope::All, false, 0, 1_000);
+    assert!(!batching.is_expired(10_000) && batching.is_expired(10_001));
+    batching.acknowledged(5_000);
+    assert!(!batching.is_expired(15_000) && batching.is_expired(15_001));
 }
 
 /// A cell of 40 runners whose lookups need approval.
 fn cell() -> Cell {
-    let room = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
+    let capacity = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
     let queues = vec![queue("lookups", 0, 3, Some(LOOKUPS))];
-    let mut cell = Cell::with(RULES, 40, room, queues, 3);
-    cell.lines = vec![0.0; 8];
-    cell.engine.lines = 8;
+    let mut cell = Cell::with(RULES, 40, capacity, queues, 3);
+    cell.connections = vec![0.0; 8];
+    cell.engine.advice_connections = 8;
     cell.times = Some(HEALTHY);
     cell.run(300);
     cell
@@ -136,9 +145,9 @@
 /// Runs `seconds` of lookups, `per_s` of them in each.
 fn run_lookups(cell: &mut Cell, ids: Ids, from: u64, seconds: u64, per_s: u64) -> Vec<SecondStats> {
     let mut jobs: Vec<Vec<(JobId, u64)>> = Vec::new();
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for s in 0..seconds {
-        let before = cell.asked.len();
+        let before = cell.requests.len();
         let mut arrived = Vec::new();
         for n in 0..per_s {
             let number = (from + s) * 1_000 + n + 1;
@@ -149,7 +158,7 @@
             arrived.push((cell.submit(id, "lookups", vec![step(1, 1_000, 600)]), cell.now));
             cell.run(1_000 / per_s);
         }
-        asked.push(cell.asked.len() - before);
+        requests.push(cell.requests.len() - before);
         jobs.push(arrived);
     }
     cell.run(4_000);
@@ -159,7 +168,7 @@
         waits.sort_unstable();
         SecondStats { wait: waits[waits.len() / 2], requests }
     };
-    jobs.into_iter().zip(asked).map(second).collect()
+    jobs.into_iter().zip(requests).map(second).collect()
 }
 
 /// Guards against lookups that start after 2.4 s instead of 0.05 s in a burst on a slow store. A
@@ -206,12 +215,12 @@
 #[test]
 fn jobs_of_an_unavailable_part_start_when_it_recovers() {
     let mut cell = cell();
-    cell.away = Some(part(0));
+    cell.unavailable = Some(part(0));
     let lost = cell.submit(1, "lookups", vec![step(1, 1_000, 600)]);
     let other = cell.submit(u64::MAX, "lookups", vec![step(1, 1_000, 600)]);
     cell.run(3_000);
     assert_eq!((cell.stored(lost), cell.stored(other)), (JobState::Queued, JobState::Completed));
-    cell.away = None;
+    cell.unavailable = None;
     cell.run(2_500);
     assert_eq!(cell.stored(lost), JobState::Completed);
     cell.check();
--- a/tests/control_tickets.rs
+++ b/tests/control_tickets.rs
@@ -28,7 +28,7 @@
     while cell.starts.is_empty() {
         cell.run(STEP_MS);
     }
-    cell.asked.len()
+    cell.requests.len()
 }
 
 /// Guards against starts with expired tickets: after an outage of the store 600 to 1,000 starts
--- a/tests/control_views.rs
+++ b/tests/control_views.rs
@@ -18,8 +18,8 @@
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobState};
 use currantgw::control::rows;
-use currantgw::control::store_health::Pulse;
-use currantgw::http::{CallError, Conns};
+use currantgw::control::store_health::StoreHealth;
+use currantgw::http::{CallError, ConnPool};
 use currantgw::kernel::clock::Clock;
 use currantgw::platform::store::RowStore;
 use futures::AsyncReadExt;
@@ -91,7 +91,7 @@
 /// of the latency of a slow store.
 #[test]
 fn slices_adapt_to_the_throughput_of_the_link() {
-    let parts = rows::JOB_PARTS as usize;
+    let parts = rows::JOB_PARTITIONS as usize;
     for (per_ms, answer_ms, least, most) in
         [(1_250, 5, 200, 400), (125, 5, 200, 400), (1_250, 240, 240, 500), (25_000, 240, 240, 400)]
     {
@@ -146,7 +146,7 @@
     assert_eq!(cell.submit(0, "plain", done, 1).await.0, 200);
     cell.wait_state(0, "plain", done, "completed").await;
     let clock = Clock::real();
-    let mirror = Mirror::new(cell.store_client(), Arc::new(Pulse::new(clock.clone())), clock);
+    let mirror = Mirror::new(cell.store_client(), Arc::new(StoreHealth::new(clock.clone())), clock);
     let id = done.parse().unwrap();
     assert_matches!(mirror.find_job(id).await, Ok(Some(_)));
     assert_eq!(mirror.job_state(id), Some(JobState::Completed));
@@ -175,8 +175,8 @@
     let cell = Cell::empty().await;
     let link = Link::open(cell.store, TABLE / 4).await;
     let clock = Clock::real();
-    let store = Arc::new(RowStore::new(Conns::new(clock.clone()), link.addr));
-    let mirror = Mirror::new(store, Arc::new(Pulse::new(clock.clone())), clock);
+    let store = Arc::new(RowStore::new(ConnPool::new(clock.clone()), link.addr));
+    let mirror = Mirror::new(store, Arc::new(StoreHealth::new(clock.clone())), clock);
     mirror.poll(Table::Jobs, 0).await.unwrap();
     cell.platform.store_jobs("plain", &ids(JOBS), PAYLOAD);
     let began = Instant::now();
@@ -210,7 +210,7 @@
 /// An answer that keeps arriving is waited for; one that stalls times out.
 #[async_std::test]
 async fn an_answer_times_out_when_it_stalls() {
-    let conns = Conns::new(Clock::real());
+    let conns = ConnPool::new(Clock::real());
     let slow = slow_server(8, 150, 8).await;
     let reply = conns.fetch(slow, "/", 1_000).await.unwrap();
     assert_eq!(reply.body.len(), 8);
--- a/tests/platform_decoders.rs
+++ b/tests/platform_decoders.rs
@@ -6,8 +6,8 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpListener;
 use currantgw::control::model::{self, Attempt, Catalogue, EndKind, Invalid, JobSpec};
-use currantgw::control::ports::{AdviceError, Hold, Refusal, RunnerCall, Runners};
-use currantgw::http::Conns;
+use currantgw::control::ports::{AdviceError, PollRequest, Refusal, RunnerCall, Runners};
+use currantgw::http::ConnPool;
 use currantgw::kernel::clock::Clock;
 use currantgw::platform::advice::{self, BadApproval};
 use currantgw::platform::callers;
@@ -536,11 +536,11 @@
                 let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
                 conn.write_all((head + &body).as_bytes()).await.unwrap();
             });
-            let calls = RunnerCalls::new(Conns::new(Clock::real()));
+            let calls = RunnerCalls::new(ConnPool::new(Clock::real()));
             let to = RunnerCall { addr, id: "r".into() };
-            let hold = Hold { fence: 1, acked: 0, until: None, wait_ms: 1_000 };
+            let hold = PollRequest { fence: 1, acked: 0, until: None, wait_ms: 1_000 };
             let began = Instant::now();
-            let report = calls.hold(&to, &hold).await.unwrap();
+            let report = calls.poll(&to, &hold).await.unwrap();
             server.await;
             assert!(report.ends.is_empty());
             assert!(began.elapsed() >= Duration::from_millis(200));
@@ -589,28 +589,28 @@
             ("fence", Refusal::Fenced),
             ("old", Refusal::Superseded),
             ("late", Refusal::Expired),
-            ("room", Refusal::NoRoom),
+            ("room", Refusal::InsufficientCapacity),
             ("ticket", Refusal::Ticket),
         ];
         for (reason, refusal) in known {
             let body = json!({"clock_ms": 5, "reason": reason});
             assert_eq!(reports::order(409, &bytes(&body)), Err(refusal));
             let other = json!({"clock_ms": 5, "reason": reason.to_uppercase()});
-            assert_eq!(reports::order(409, &bytes(&other)), Err(Refusal::NoAnswer));
+            assert_eq!(reports::order(409, &bytes(&other)), Err(Refusal::NoResponse));
         }
         corrupt_each(&json!({"clock_ms": 5}), &["/clock_ms"], |_, case, body| {
-            assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer), "{case:?}");
+            assert_eq!(reports::order(200, body), Err(Refusal::NoResponse), "{case:?}");
         });
         let refused = json!({"clock_ms": 5, "reason": "room"});
         corrupt_each(&refused, &["/reason"], |_, case, body| {
-            assert_eq!(reports::order(409, body), Err(Refusal::NoAnswer), "{case:?}");
+            assert_eq!(reports::order(409, body), Err(Refusal::NoResponse), "{case:?}");
         });
         corrupt_each(&refused, &["/clock_ms"], |_, case, body| {
-            assert_eq!(reports::order(409, body), Err(Refusal::NoRoom), "{case:?}");
+            assert_eq!(reports::order(409, body), Err(Refusal::InsufficientCapacity), "{case:?}");
         });
         for body in NOISE {
-            assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer));
-            assert_eq!(reports::order(409, body), Err(Refusal::NoAnswer));
+            assert_eq!(reports::order(200, body), Err(Refusal::NoResponse));
+            assert_eq!(reports::order(409, body), Err(Refusal::NoResponse));
         }
     }
 
--- a/tests/platform_entries.rs
+++ b/tests/platform_entries.rs
@@ -5,7 +5,7 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpListener;
 use currantgw::control::ports::Store;
-use currantgw::http::Conns;
+use currantgw::http::ConnPool;
 use currantgw::kernel::clock::Clock;
 use currantgw::platform::runners::{self, BadEntry};
 use currantgw::platform::store::RowStore;
@@ -124,7 +124,7 @@
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
             conn.write_all((head + &body).as_bytes()).await.unwrap();
         });
-        let store = RowStore::new(Conns::new(Clock::real()), addr);
+        let store = RowStore::new(ConnPool::new(Clock::real()), addr);
         let page = store.page("servers", "", "", None, 500).await.unwrap();
         server.await;
         let values: Vec<&[u8]> = page.rows.iter().map(|r| r.value.as_slice()).collect();
--- a/tests/unreadable_rows.rs
+++ b/tests/unreadable_rows.rs
@@ -8,8 +8,8 @@
 use currantgw::control::ports::{
     Change, Changes, Commit, CommitError, Key, Page, ReadError, Row, Store, Txn,
 };
-use currantgw::control::rows::{self, BadRow, HolderRow, JobRow, ProgressRow, StepRow, TaskRow};
-use currantgw::control::store_health::Pulse;
+use currantgw::control::rows::{self, BadRow, JobRow, LeaderRow, ProgressRow, StepRow, TaskRow};
+use currantgw::control::store_health::StoreHealth;
 use currantgw::kernel::clock::Clock;
 use proptest::prelude::*;
 use serde::de::DeserializeOwned;
@@ -67,9 +67,9 @@
     ProgressRow { state: JobState::Running, ended: 0, steps: vec![first, second] }
 }
 
-fn holder() -> HolderRow {
+fn holder() -> LeaderRow {
     let links = Some("127.0.0.1:9000".parse().unwrap());
-    HolderRow { node: "n".into(), life: 7, links, size: 250 }
+    LeaderRow { node: "n".into(), life: 7, links, size: 250 }
 }
 
 /// A job id for `n`, each in a partition of its own.
@@ -101,7 +101,7 @@
 
 async fn loaded_mirror(store: FixedStore) -> Mirror {
     let clock = Clock::real();
-    let mirror = Mirror::new(Arc::new(store), Arc::new(Pulse::new(clock.clone())), clock);
+    let mirror = Mirror::new(Arc::new(store), Arc::new(StoreHealth::new(clock.clone())), clock);
     for table in [Table::Jobs, Table::Progress] {
         mirror.poll(table, 0).await.unwrap();
     }
@@ -130,7 +130,7 @@
     }
     for (key, value) in [("", b"".to_vec()), ("x.cancel", b"1".to_vec()), ("\u{1}", vec![255])] {
         all.push(row(Key::new(rows::JOBS, "00", key), value.clone(), 3));
-        all.push(row(Key::new(rows::PROGRESS, rows::CELL, key), value, 3));
+        all.push(row(Key::new(rows::PROGRESS, rows::ELECTION_PARTITION, key), value, 3));
     }
     let mirror = loaded_mirror(FixedStore { rows: all, ..FixedStore::default() }).await;
     let found = mirror.snapshot();
@@ -162,7 +162,7 @@
     let mirror = loaded_mirror(FixedStore { rows: known, feed: Mutex::new(feed) }).await;
     for table in [Table::Jobs, Table::Progress] {
         assert_eq!(mirror.poll(table, 0).await, Ok(2));
-        assert_eq!(mirror.followed(table), Some(12));
+        assert_eq!(mirror.cached_version(table), Some(12));
     }
     let found = mirror.snapshot();
     let versions: Vec<Option<u64>> =
@@ -218,7 +218,7 @@
     refused::<ProgressRow>(&changed(|r| r.steps[0].2[0].1 = u32::MAX), "failures");
     refused::<ProgressRow>(&changed(|r| r.steps[0].0 = u32::MAX), "failures");
     refused::<ProgressRow>(&changed(|r| r.ended = u64::MAX), "moment");
-    refused::<HolderRow>(&HolderRow { size: u64::MAX, ..holder() }, "size");
+    refused::<LeaderRow>(&LeaderRow { size: u64::MAX, ..holder() }, "size");
 }
 
 /// The fields of a row as CBOR.
@@ -323,8 +323,8 @@
     fn any_bytes_are_decoded_or_refused(value in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = rows::decode::<JobRow>(&value);
         let _ = rows::decode::<ProgressRow>(&value);
-        let _ = rows::decode::<HolderRow>(&value);
-        let _ = rows::job_of(&String::from_utf8_lossy(&value));
+        let _ = rows::decode::<LeaderRow>(&value);
+        let _ = rows::parse_job_key(&String::from_utf8_lossy(&value));
     }
 
     #[test]
