--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -3,9 +3,9 @@
 //! Nothing in the store expires, so candidates watch a second row, the leader's heartbeat. A
 //! candidate that sees it unchanged for [`TAKEOVER_MS`] writes itself as leader, under the
 //! condition that both rows are still as it saw them; a leader that still sends heartbeats makes
-//! that write fail. The version of the leader's row is the fencing token. A replaced leader that
-//! does not know it yet cannot commit (its commits have the row as a condition) and is refused by
-//! every runner that its successor has polled.
+//! that write fail. The version of the leader's row is the fencing token. A leader that has not
+//! noticed its replacement cannot commit (its commits have the row as a condition) and is refused
+//! by every runner that its successor has polled.
 //!
 //! Progress is stored in several partitions, whose transactions cannot all check the leader's row.
 //! So each partition has a fence row with the token of the leader that may write there. Without it,
--- a/src/control/engine/advice_targets.rs
+++ b/src/control/engine/advice_targets.rs
@@ -3,7 +3,7 @@
 //! Needed for cells of hundreds of runners that are four fifths full, where each step may run on a
 //! part of them that only an advice request reveals. The cost of a request depends little on the
 //! number of runners that it names, so that the connections to the service bound how many runners a
-//! second can be asked about.
+//! second can be checked.
 //!
 //! Steps of single tasks name the runners whose free capacity they fill up best. Tasks can only be
 //! placed on runners that were named, and naming the emptiest ones would fragment the capacity that
@@ -56,8 +56,8 @@
         approvals.is_some_and(|a| a.tickets.contains_key(&k) || a.denied.contains(&k))
     }
 
-    /// Requests advice about approved runners with free capacity, whose tickets have expired, or, if
-    /// there are none, about runners not named yet. Gangs name only the latter.
+    /// Requests advice about approved runners with free capacity, whose tickets have expired, or,
+    /// if there are none, about runners not named yet. Gangs name only the latter.
     pub(super) fn request_advice(
         &mut self,
         v: &StepView<'_>,
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -31,9 +31,9 @@
 }
 
 /// How long a run is known to have run until its runner stopped answering, ms.
-fn observed_run_ms(task: &Task, silent_since: u64) -> Option<u64> {
+fn observed_run_ms(task: &Task, unanswered_since: u64) -> Option<u64> {
     let began = task.run.as_ref().map(|r| r.progress.began).filter(|at| *at > 0)?;
-    Some(silent_since.saturating_sub(began))
+    Some(unanswered_since.saturating_sub(began))
 }
 
 impl Engine {
@@ -60,14 +60,14 @@
     /// Counts the loss of runs against their tasks, unless their runner was draining.
     pub(super) fn record_lost(&mut self, k: RunnerKey, lost: &[TaskId], why: Loss, now: Now) {
         let runner = self.runners.get(k);
-        let silent_since = runner.unanswered_since.unwrap_or(now.mono);
+        let unanswered_since = runner.unanswered_since.unwrap_or(now.mono);
         let draining = runner.entry.as_ref().is_some_and(|e| e.draining);
         // A runner that is still registered when its lease expires is unreachable and has not
         // crashed.
         let crashed = why != Loss::LeaseOver || !runner.listed;
-        lost.iter().for_each(|id| self.log_lost(k, *id, why, silent_since, now));
+        lost.iter().for_each(|id| self.log_lost(k, *id, why, unanswered_since, now));
         if !draining {
-            self.count_lost(k, lost, silent_since, crashed, now);
+            self.count_lost(k, lost, unanswered_since, crashed, now);
         }
     }
 
@@ -77,7 +77,7 @@
         &mut self,
         k: RunnerKey,
         lost: &[TaskId],
-        silent_since: u64,
+        unanswered_since: u64,
         crashed: bool,
         now: Now,
     ) {
@@ -86,7 +86,7 @@
         let rate = self.loss_rate;
         for &id in lost {
             let Some(task) = self.task_mut(id).filter(|t| t.was_sent()) else { continue };
-            let ran = observed_run_ms(task, silent_since);
+            let ran = observed_run_ms(task, unanswered_since);
             let conclusive = ran.filter(|_| crashed && task.losses.count == most_losses);
             let chance = conclusive.map_or(1.0, |ms| rate.chance(ms));
             task.losses.record_loss(task.attempt, k, chance);
@@ -95,14 +95,14 @@
         }
     }
 
-    fn log_lost(&self, k: RunnerKey, id: TaskId, why: Loss, silent_since: u64, now: Now) {
+    fn log_lost(&self, k: RunnerKey, id: TaskId, why: Loss, unanswered_since: u64, now: Now) {
         let runner = self.runners.get(k);
         let Some(task) = self.task(id) else { return };
         let Some(run) = &task.run else { return };
         metrics::counter!("control_runs_lost", "why" => why.name()).increment(1);
         log::info!(task:% = id, attempt = task.attempt.0, runner = runner.id, why = why.name(),
-            stage = run.stage.name(), ran_ms:? = observed_run_ms(task, silent_since),
-            silent_ms = now.mono - silent_since, beside = runner.tasks.len().saturating_sub(1),
+            stage = run.stage.name(), ran_ms:? = observed_run_ms(task, unanswered_since),
+            silent_ms = now.mono - unanswered_since, beside = runner.tasks.len().saturating_sub(1),
             lost_before = task.losses.count; "run lost with its runner");
     }
 
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -82,7 +82,8 @@
         order
     }
 
-    /// Those of the given steps that are urgent and whose result still has a value, in order of rank.
+    /// Those of the given steps that are urgent and whose result still has a value, in order of
+    /// rank.
     fn urgent_steps(&self, ids: BTreeSet<StepId>, now: Now) -> Vec<(Rank, StepId)> {
         let mut order = self.ranked(ids.into_iter(), now);
         order.retain(|(rank, _)| !rank.non_urgent && !rank.no_value);
@@ -147,14 +148,14 @@
     fn rank(&self, id: StepId, capacity_wait: u64, now: Now) -> Option<Rank> {
         let job = self.jobs.get(&id.job)?;
         let queue = self.cat.queues.get(&job.row.queue)?;
-        let claim = RankInput {
+        let input = RankInput {
             priority: queue.priority,
             begin: job.begin(id.occurrence),
             objective: job.objective(queue),
             chain: job.path_ms[id.step as usize],
             capacity_wait: if job.spec(id).gang { capacity_wait } else { 0 },
         };
-        Some(queue::rank(&claim, now.wall))
+        Some(queue::rank(&input, now.wall))
     }
 
     /// Demand of the waiting steps, and the capacity of the cell.
@@ -301,19 +302,19 @@
         let candidates = self.candidates(v, reserved, now);
         let mut approved = self.with_valid_ticket(v, &candidates, now);
         let mut budget = if v.non_urgent { self.non_urgent_capacity(v, now) } else { u64::MAX };
-        let ask = self.placement_request(v);
+        let request = self.placement_request(v);
         let waiting: Vec<TaskId> = self.waiting_ids(v.id);
         let mut missing = waiting.len();
         for id in waiting {
-            if ask.need.cpu > budget {
+            if request.need.cpu > budget {
                 return;
             }
             let avoid = self.runners_to_avoid([id], &approved);
             let Some(task) = self.task(id) else { continue };
-            let ask = PlacementRequest { suspect: task.losses.suspect(), ..ask.clone() };
-            let chosen = place::place_one(&mut approved, &ask, &avoid, task.fails > 0);
+            let request = PlacementRequest { suspect: task.losses.suspect(), ..request.clone() };
+            let chosen = place::place_one(&mut approved, &request, &avoid, task.fails > 0);
             let Some(k) = chosen else { break };
-            budget -= ask.need.cpu;
+            budget -= request.need.cpu;
             missing -= 1;
             self.decide_placement(v, id, k, now);
         }
@@ -342,18 +343,19 @@
             return;
         }
         let need = v.step.demand();
-        let mut ask = self.placement_request(v);
-        ask.suspect = self.step(v.id).is_some_and(|s| s.tasks.iter().any(|t| t.losses.suspect()));
+        let mut request = self.placement_request(v);
+        request.suspect =
+            self.step(v.id).is_some_and(|s| s.tasks.iter().any(|t| t.losses.suspect()));
         let candidates = self.candidates(v, reserved, now);
         let ids: Vec<TaskId> = self.step(v.id).into_iter().flat_map(StepRun::ids).collect();
         let avoid = self.runners_to_avoid(ids, &candidates);
         let mut approved = self.with_valid_ticket(v, &candidates, now);
-        if let Some(keys) = place::place_all(&mut approved, &ask, count, &avoid) {
+        if let Some(keys) = place::place_all(&mut approved, &request, count, &avoid) {
             self.decide_gang(v, &keys, now);
             return;
         }
         if !self.advice_pending(v.id) {
-            if let Some(keys) = place::place_all(&mut candidates.clone(), &ask, count, &avoid) {
+            if let Some(keys) = place::place_all(&mut candidates.clone(), &request, count, &avoid) {
                 self.reserve_provisionally(v.id, keys, need, now);
                 return self.place_reserved(v, now);
             }
--- a/src/control/engine/preempt.rs
+++ b/src/control/engine/preempt.rs
@@ -53,7 +53,7 @@
             return false;
         }
         let free = candidates.iter().filter(|p| !reserved.contains(p.key));
-        let spots: Vec<RunnerCapacity<RunnerKey, TaskId>> = free
+        let runners: Vec<RunnerCapacity<RunnerKey, TaskId>> = free
             .map(|p| RunnerCapacity {
                 key: p.key,
                 free: p.free,
@@ -61,7 +61,7 @@
                 victims: self.victims(p.key, now),
             })
             .collect();
-        let Some(plan) = preemption::plan(spots, &need, count) else { return false };
+        let Some(plan) = preemption::plan(runners, &need, count) else { return false };
         log::info!(step:% = v.id, members = count, stopped = plan.stops.len(), late = rank.late;
             "tasks stopped to make room for a gang");
         self.reserve_provisionally(v.id, plan.keys, need, now);
--- a/src/control/engine/runners.rs
+++ b/src/control/engine/runners.rs
@@ -219,11 +219,11 @@
         self.unanswered_since.get_or_insert(now.mono);
     }
 
-    /// The end of a lease of `hold` ms from now, on the runner's clock. It is recorded, since the
+    /// The end of a lease of `lease_ms` from now, on the runner's clock. It is recorded, since the
     /// order that carries it may take effect even if it is never answered.
-    pub fn extend(&mut self, hold: u64, now: Now) -> Option<u64> {
+    pub fn extend(&mut self, lease_ms: u64, now: Now) -> Option<u64> {
         let (clock, at) = self.clock?;
-        let until = clock + now.mono.saturating_sub(at) + hold;
+        let until = clock + now.mono.saturating_sub(at) + lease_ms;
         self.lease_until = self.lease_until.max(until);
         Some(until)
     }
@@ -266,8 +266,9 @@
         if let Some(e) = entry {
             let (capacity, used) = (runner.capacity(), runner.used);
             if runner.entry.is_some() && capacity != e.capacity {
-                log::info!(runner = id, cpu = e.capacity.cpu, mem = e.capacity.mem, was_cpu = capacity.cpu,
-                    was_mem = capacity.mem, used_cpu = used.cpu, used_mem = used.mem;
+                log::info!(runner = id, cpu = e.capacity.cpu, mem = e.capacity.mem,
+                    was_cpu = capacity.cpu, was_mem = capacity.mem, used_cpu = used.cpu,
+                    used_mem = used.mem;
                     "capacity changed");
             }
             let next = self.racks.len() as u32;
--- a/src/control/leader/calls.rs
+++ b/src/control/leader/calls.rs
@@ -45,7 +45,7 @@
     }
 
     /// Triggers the next heartbeat after a fixed time, whether or not the previous one was
-    /// answered: a heartbeat delayed by a lost answer would make the leader look dead.
+    /// answered: a heartbeat delayed by a lost answer would make the leader appear dead.
     pub(super) fn heartbeat_later(&self) -> BoxFuture<'_, Event> {
         async move {
             self.clock.sleep(HEARTBEAT_MS).await;
@@ -63,7 +63,7 @@
     }
 
     /// Deletes the rows of ended jobs. The job's own row goes first: a job without progress would
-    /// look as if it had never started.
+    /// appear never to have started.
     pub(super) fn collect_garbage(&self, expired: Vec<JobId>) -> BoxFuture<'_, Event> {
         async move {
             for id in expired {
@@ -91,7 +91,8 @@
         batch: Batch,
     ) -> BoxFuture<'_, Event> {
         async move {
-            let parts: BTreeSet<Partition> = batch.writes.iter().map(|w| Partition::of(w.job)).collect();
+            let parts: BTreeSet<Partition> =
+                batch.writes.iter().map(|w| Partition::of(w.job)).collect();
             let fence = |p: &Partition| (rows::fence_key(*p), term.parts[p.index()]);
             let expect = parts.iter().map(fence).collect();
             let mut txn = Txn { expect, ..Txn::default() };
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -316,7 +316,8 @@
             *self.view.lock().unwrap() = serde_json::json!({
                 "fence": engine.fence, "jobs": engine.job_count(), "tasks": tasks,
                 "open_steps": engine.open_steps(), "usable_runners": usable,
-                "room": resources, "counts": engine.counts, "advice_lines": self.server.advice_connections(),
+                "room": resources, "counts": engine.counts,
+                "advice_lines": self.server.advice_connections(),
             });
         }
     }
--- a/src/control/links/client.rs
+++ b/src/control/links/client.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Requests the state of a job from the leader; none if it doesn't know the job, or there is no
+    /// Requests the state of a job from the leader; none if it has no entry, or there is no
     /// answer within `ms`.
     pub async fn find(&self, job: JobId, ms: u64) -> Option<JobState> {
         match self.call(|id| Frame::Find { id, job }, ms).await {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Requests the number of waiting jobs of a queue from the leader; none if it doesn't know all
+    /// Requests the number of waiting jobs of a queue from the leader; none if it lacks some
     /// jobs, or there is no answer within `ms`.
     pub async fn count(&self, queue: &str, ms: u64) -> Option<u64> {
         let queue = queue.to_string();
@@ -230,7 +230,10 @@
                             Ok(Some(Ok(m))) => {
                                 self.last_frame.store(self.clock.mono(), Ordering::Relaxed);
                                 match (decode(&m), &self.advisor) {
-                                    (Some(Frame::Ask { id, step, ids, ms }), Some(local)) => {
+                                    (
+                                        Some(Frame::RequestAdvice { id, step, ids, ms }),
+                                        Some(local),
+                                    ) => {
                                         let local = local.clone();
                                         requests.push(async move {
                                             let res = local.request(step, &ids, ms).await;
--- a/src/control/links/mod.rs
+++ b/src/control/links/mod.rs
@@ -4,8 +4,8 @@
 //! leader the jobs that it has stored, and the leader sends every instance the job states that it
 //! has stored. Two kinds of calls go over links alone: advice requests, because the advice service
 //! serves one call at a time for each calling instance, and writes of an instance whose calls the
-//! store refuses. An instance that doesn't cache jobs asks the leader for the state of a job and
-//! for the number of waiting jobs.
+//! store refuses. An instance that doesn't cache jobs requests from the leader the state of a job
+//! and the number of waiting jobs.
 
 pub mod advice_queues;
 pub mod client;
@@ -44,8 +44,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Frame {
     /// Request advice on a step, with a timeout of `ms`.
-    Ask { id: u64, step: StepId, ids: Vec<String>, ms: u64 },
-    /// Answer to [`Self::Ask`].
+    #[serde(rename = "Ask")]
+    RequestAdvice { id: u64, step: StepId, ids: Vec<String>, ms: u64 },
+    /// Answer to [`Self::RequestAdvice`].
     Answer { id: u64, res: Result<Advice, AdviceError> },
     /// A job that the sender has stored, with its encoded row.
     Job { id: JobId, row: Vec<u8> },
@@ -65,7 +66,7 @@
     Found { id: u64, state: Option<JobState> },
     /// Request the number of waiting jobs of a queue.
     Count { id: u64, queue: String },
-    /// Answer to [`Self::Count`]; none if the sender doesn't know all jobs.
+    /// Answer to [`Self::Count`]; none if the sender lacks some jobs.
     Counted { id: u64, waiting: Option<u64> },
     /// The leader known to the sender, and the version of its row.
     #[serde(rename = "Holder")]
--- a/src/control/links/server.rs
+++ b/src/control/links/server.rs
@@ -26,7 +26,7 @@
 const ANSWER_MARGIN_MS: u64 = 800;
 
 /// Timeout of a write for another instance, ms: shorter than that instance's own timeout, so that
-/// it is told whether the write was sent at all.
+/// it gets the answer whether the write was sent at all.
 const RELAY_TIMEOUT_MS: u64 = 700;
 
 /// Maximum age of the data behind a count of waiting jobs, ms: the bound of the interface, less the
@@ -132,7 +132,7 @@
         match tx {
             None => local.request(step, &ids, ms).await,
             Some(tx) => {
-                let sent = tx.try_send(encode(&Frame::Ask { id, step, ids, ms })).is_ok();
+                let sent = tx.try_send(encode(&Frame::RequestAdvice { id, step, ids, ms })).is_ok();
                 match self.clock.timeout(ms + ANSWER_MARGIN_MS, answer).await {
                     Ok(Ok(res)) if sent => res,
                     _ => Err(AdviceError::Unreachable),
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -329,7 +329,7 @@
         let mut st = self.state.lock().unwrap();
         let changes = res.inspect_err(|e| {
             // The changes are more than the link transfers within a read's timeout, and the next
-            // poll would ask for even more: the table is read in slices instead.
+            // poll would request even more: the table is read in slices instead.
             let too_large = self.clock.mono() - sent >= FEED_TOO_LARGE_MS;
             // Another caller may have begun a full read meanwhile, which is then kept.
             if (*e == ReadError::HistoryGone || too_large)
--- a/src/control/mirror/state.rs
+++ b/src/control/mirror/state.rs
@@ -189,7 +189,7 @@
             }
             (Table::Jobs, Some(JobKey::Job(id))) => drop(self.jobs.remove(&id)),
             // A job's own row is deleted before its progress. If this instance missed the first
-            // deletion, the job would stay in the cache without progress and look queued.
+            // deletion, the job would stay in the cache without progress and appear queued.
             (Table::Progress, Some(JobKey::Job(id))) => {
                 self.progress.remove(&id);
                 self.jobs.remove(&id);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -2,12 +2,14 @@
 //! and one of them, the elected leader, runs the scheduler, which places tasks on runners.
 //!
 //! - `engine` decides without I/O, `leader` drives it, and `election` elects the leader.
-//! - `queue`, `place`, `preemption`, `crashes` and `run_times` are policies of the engine: queue order,
-//!   placement, preemption, crash-loop detection and the run-time model.
-//! - `mirror` is the local cache of the store's tables, `submissions` writes submissions in batches,
-//!   `partitions` spreads progress over the partitions of the store, and `rows` encodes the rows.
+//! - `queue`, `place`, `preemption`, `crashes` and `run_times` are policies of the engine: queue
+//!   order, placement, preemption, crash-loop detection and the run-time model.
+//! - `mirror` is the local cache of the store's tables, `submissions` writes submissions in
+//!   batches, `partitions` spreads progress over the partitions of the store, and `rows` encodes
+//!   the rows.
 //! - `front` handles callers' requests, and `links` connects the other instances to the leader.
-//! - `store_health` tracks the health of the store, and `health` logs dependencies lost and regained.
+//! - `store_health` tracks the health of the store, and `health` logs dependencies lost and
+//!   regained.
 //! - `model` and `ports` hold the data model and the interfaces to the platform; `node` and
 //!   `settings` assemble and configure an instance.
 
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -52,7 +52,7 @@
 /// Delay after a failed poll, ms.
 const RETRY_MS: u64 = 150;
 
-/// An instance that is told to stop goes on serving until this long before the end of its grace
+/// A stopping instance goes on serving until this long before the end of its grace
 /// period, ms.
 const STOP_MARGIN_MS: u64 = 1_500;
 
@@ -247,7 +247,7 @@
     app
 }
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until `stop` fires.
 pub async fn run(settings: NodeSettings, clock: Clock, stop: Stop) -> eyre::Result<()> {
     admin::metrics();
     let (instance, writers) = Instance::new(settings, clock.clone(), stop.clone());
--- a/src/control/place.rs
+++ b/src/control/place.rs
@@ -61,12 +61,12 @@
 
 /// Sort key of the placement policy among the candidates that fit; lower is better. `left` is what
 /// would remain free.
-fn order(ask: &PlacementRequest, index: usize, left: &Resources) -> (u64, u64) {
-    match ask.how {
+fn order(request: &PlacementRequest, index: usize, left: &Resources) -> (u64, u64) {
+    match request.how {
         Placement::BestFit => (left.cpu, left.mem),
         Placement::FirstFit => (0, 0),
         Placement::Random => {
-            let bytes = [ask.seed, index as u64, left.cpu].map(u64::to_le_bytes).concat();
+            let bytes = [request.seed, index as u64, left.cpu].map(u64::to_le_bytes).concat();
             (xxh3::xxh3_64(&bytes), 0)
         }
     }
@@ -75,8 +75,8 @@
 /// Exposure of a task to suspects on a candidate; lower is better. A run beside a suspect that has
 /// lost its runner more than once is likely to be lost, and two suspects that are lost together
 /// cannot be told apart.
-fn exposure<K>(ask: &PlacementRequest, p: &Candidate<K>) -> (bool, u32) {
-    (p.repeat_suspect, if ask.suspect { p.suspects } else { 0 })
+fn exposure<K>(request: &PlacementRequest, p: &Candidate<K>) -> (bool, u32) {
+    (p.repeat_suspect, if request.suspect { p.suspects } else { 0 })
 }
 
 /// Number of further tasks that fit.
@@ -96,20 +96,20 @@
 /// placement policy.
 pub fn place_one<K: Copy + Ord>(
     places: &mut [Candidate<K>],
-    ask: &PlacementRequest,
+    request: &PlacementRequest,
     avoid: &BTreeSet<K>,
     failed: bool,
 ) -> Option<K> {
-    let fits = |(_, p): &(usize, &mut Candidate<K>)| slots(p, &ask.need) > 0;
+    let fits = |(_, p): &(usize, &mut Candidate<K>)| slots(p, &request.need) > 0;
     let (_, best) = places.iter_mut().enumerate().filter(fits).min_by_key(|(index, p)| {
-        let far = ask.rack.is_some_and(|r| r != p.rack);
-        let left = p.free.sub(&ask.need);
+        let far = request.rack.is_some_and(|r| r != p.rack);
+        let left = p.free.sub(&request.need);
         let unproven = failed && !p.proven;
-        let order = order(ask, *index, &left);
-        (avoid.contains(&p.key), unproven, exposure(ask, p), far, order, p.key)
+        let order = order(request, *index, &left);
+        (avoid.contains(&p.key), unproven, exposure(request, p), far, order, p.key)
     })?;
-    best.suspects += u32::from(ask.suspect);
-    best.free = best.free.sub(&ask.need);
+    best.suspects += u32::from(request.suspect);
+    best.free = best.free.sub(&request.need);
     best.limit -= 1;
     Some(best.key)
 }
@@ -118,31 +118,31 @@
 /// goes to the rack with the least free capacity that still takes all of it, if there is one.
 pub fn place_all<K: Copy + Ord>(
     places: &mut Vec<Candidate<K>>,
-    ask: &PlacementRequest,
+    request: &PlacementRequest,
     count: usize,
     avoid: &BTreeSet<K>,
 ) -> Option<Vec<K>> {
-    if ask.one_rack {
-        if let Some(rack) = one_rack(places, ask, count) {
+    if request.one_rack {
+        if let Some(rack) = one_rack(places, request, count) {
             places.retain(|p| p.rack == rack);
         }
     }
-    if capacity(places, &ask.need) < count as u64 {
+    if capacity(places, &request.need) < count as u64 {
         return None;
     }
-    (0..count).map(|_| place_one(places, ask, avoid, false)).collect()
+    (0..count).map(|_| place_one(places, request, avoid, false)).collect()
 }
 
 fn one_rack<K: Copy + Ord>(
     places: &[Candidate<K>],
-    ask: &PlacementRequest,
+    request: &PlacementRequest,
     count: usize,
 ) -> Option<u32> {
     let racks: BTreeSet<u32> = places.iter().map(|p| p.rack).collect();
     let rack_slots = |rack: u32| -> u64 {
         let here = places.iter().filter(|p| p.rack == rack);
-        here.map(|p| u64::from(slots(p, &ask.need))).sum()
+        here.map(|p| u64::from(slots(p, &request.need))).sum()
     };
     let large_enough = racks.into_iter().filter(|&r| rack_slots(r) >= count as u64);
-    large_enough.min_by_key(|&r| (ask.rack != Some(r), rack_slots(r)))
+    large_enough.min_by_key(|&r| (request.rack != Some(r), rack_slots(r)))
 }
--- a/src/control/preemption.rs
+++ b/src/control/preemption.rs
@@ -76,7 +76,7 @@
 /// Places all `count` members so that each step stops as little processor capacity as possible;
 /// none if they do not fit.
 pub fn plan<K: Copy + Ord, T: Copy + Ord>(
-    mut spots: Vec<RunnerCapacity<K, T>>,
+    mut runners: Vec<RunnerCapacity<K, T>>,
     need: &Resources,
     count: usize,
 ) -> Option<Plan<K, T>> {
@@ -87,10 +87,10 @@
             let stopped: u64 = picked.iter().map(|&i| s.victims[i].need.cpu).sum();
             Some((stopped, s.free.cpu, s.key, picked))
         };
-        let available = spots.iter().enumerate().filter(|(_, s)| s.limit > 0);
+        let available = runners.iter().enumerate().filter(|(_, s)| s.limit > 0);
         let candidates = available.filter_map(|(i, s)| Some((cost(s)?, i)));
         let ((_, _, key, picked), i) = candidates.min()?;
-        spots[i].place_member(need, picked, &mut out.stops);
+        runners[i].place_member(need, picked, &mut out.stops);
         out.keys.push(key);
     }
     Some(out)
--- a/src/control/queue.rs
+++ b/src/control/queue.rs
@@ -8,7 +8,7 @@
 //! have to be run.
 
 /// Multiple of the objective after which a job earns nothing.
-const WORTHLESS_FACTOR: u64 = 3;
+const NO_VALUE_FACTOR: u64 = 3;
 
 /// Rank of a step in the queue; lower is served first. Compared field by field, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,12 +41,12 @@
 
 /// Ranks a step at `now`, Unix ms.
 pub fn rank(c: &RankInput, now: u64) -> Rank {
-    let (due, worthless_at) = (c.begin + c.objective, c.begin + WORTHLESS_FACTOR * c.objective);
+    let (due, no_value_at) = (c.begin + c.objective, c.begin + NO_VALUE_FACTOR * c.objective);
     let end = now + c.chain;
     let late = end > due;
-    let deadline = if late { worthless_at } else { due };
+    let deadline = if late { no_value_at } else { due };
     Rank {
-        no_value: end > worthless_at,
+        no_value: end > no_value_at,
         non_urgent: c.priority > 0,
         latest_start: deadline.saturating_sub(c.chain + c.capacity_wait),
         late,
--- a/src/control/run_times.rs
+++ b/src/control/run_times.rs
@@ -2,7 +2,7 @@
 //! their queue. No I/O.
 //!
 //! Needed because callers' estimates are up to 90 percent off. If they were trusted without a
-//! check, a job that claims a tenth of its work would look late as soon as it arrives and would
+//! check, a job that claims a tenth of its work would appear late as soon as it arrives and would
 //! wait behind all others. Run times of a queue's steps are regressed on their estimates, in
 //! logarithms, since both errors are factors. Where estimates are accurate the slope is near one
 //! and predictions equal them. Where they carry little information the prediction is near the
--- a/src/http.rs
+++ b/src/http.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Sends `req` and reads the whole answer; the flag tells whether the connection can be reused.
+    /// Sends `req` and reads the whole answer; the flag is true if the connection can be reused.
     async fn exchange(
         &self,
         stream: TcpStream,
--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -168,16 +168,16 @@
     /// approves runners).
     pub fn new(n: usize, seed: u64) -> Self {
         let capacity = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
-        let ask = Approval { base_ms: 10.0, each_ms: 1.0, valid_ms: 2_000 };
+        let approval = Approval { base_ms: 10.0, each_ms: 1.0, valid_ms: 2_000 };
         let queues = [
             queue("urgent", 0, 2, None),
             queue("patient", 2, 3, None),
-            queue("asked", 1, 3, Some(ask)),
+            queue("asked", 1, 3, Some(approval)),
         ];
         Self::with(RULES, n, capacity, queues.into(), seed)
     }
 
-    /// A cell of `n` runners with capacity `room`, with the given queues, under `rules`.
+    /// A cell of `n` runners with capacity `capacity`, with the given queues, under `rules`.
     pub fn with(
         rules: Rules,
         n: usize,
--- a/tests/common/control/store.rs
+++ b/tests/common/control/store.rs
@@ -65,8 +65,8 @@
 
     /// Applies a commit: all of its writes, or none.
     pub(super) fn apply(&mut self, term: u64, batch: &Batch) -> Outcome {
-        let stands = |id: &JobId| self.store.get(id).map_or(0, |(v, _)| *v);
-        if term != self.term || batch.writes.iter().any(|w| stands(&w.job) != w.version) {
+        let stored_version = |id: &JobId| self.store.get(id).map_or(0, |(v, _)| *v);
+        if term != self.term || batch.writes.iter().any(|w| stored_version(&w.job) != w.version) {
             let found = batch.writes.iter().filter_map(|w| {
                 let (version, value) = self.store.get(&w.job)?.clone();
                 let key = rows::progress_key(w.job);
--- a/tests/common/control/work.rs
+++ b/tests/common/control/work.rs
@@ -40,8 +40,8 @@
         let gangs = self.gangs();
         let mut broken: BTreeSet<(StepId, Attempt)> = BTreeSet::new();
         for r in self.runners.iter_mut().filter(|r| r.exists) {
-            let lapsed = r.clock(now) > r.lease;
-            if lapsed {
+            let expired = r.clock(now) > r.lease;
+            if expired {
                 r.expire_lease();
             }
             let tasks: Vec<TaskId> = r.running.keys().copied().collect();
@@ -55,8 +55,11 @@
                 if complete && !stalled && x.stopping.is_none() {
                     x.work_done = (x.work_done + STEP_MS).min(x.total_work);
                 }
-                let end =
-                    if lapsed { Some(EndKind::Lapsed) } else { end_of(x, complete, all_done, now) };
+                let end = if expired {
+                    Some(EndKind::Lapsed)
+                } else {
+                    end_of(x, complete, all_done, now)
+                };
                 let Some(kind) = end else { continue };
                 if x.gang.is_some() && kind != EndKind::Done {
                     broken.insert(key);
--- a/tests/common/load.rs
+++ b/tests/common/load.rs
@@ -49,7 +49,7 @@
     slack: f64,
     latency_ms: u64,
     /// Cost of an advice request: constant part, and part for each runner, ms.
-    asks: (f64, f64),
+    advice_ms: (f64, f64),
     worth: f64,
 }
 
@@ -131,10 +131,10 @@
             saves: 0.5,
             slack: 2.2,
             latency_ms: 1_000,
-            asks: (360.0, 5.1),
+            advice_ms: (360.0, 5.1),
             worth: 12.4,
         };
-        let patient = QueueLoad {
+        let non_urgent = QueueLoad {
             name: "patient",
             priority: 2,
             per_s: 4.4,
@@ -147,7 +147,7 @@
             saves: 0.8,
             slack: 4.0,
             latency_ms: 3_000,
-            asks: (72.0, 1.0),
+            advice_ms: (72.0, 1.0),
             worth: 3.3,
         };
         let urgent = QueueLoad {
@@ -163,7 +163,7 @@
             saves: 0.0,
             slack: 1.5,
             latency_ms: 250,
-            asks: (6.5, 0.1),
+            advice_ms: (6.5, 0.1),
             worth: 0.41,
         };
         let capacity = Resources { cpu: 16_000, mem: 65_536, acc: 0 };
@@ -171,7 +171,7 @@
             name: "small runners, calm",
             runners,
             capacity,
-            kinds: [gangs, patient, urgent],
+            kinds: [gangs, non_urgent, urgent],
             seconds: 34.0,
             times: 1.0,
             bursts: Vec::new(),
@@ -186,19 +186,19 @@
     /// whose estimates say little: a job takes a half to ten times its estimate.
     pub fn rough_estimates(runners: usize) -> Self {
         let mut load = Self::small_runners(runners);
-        let [gangs, patient, urgent] = &mut load.kinds;
+        let [gangs, non_urgent, urgent] = &mut load.kinds;
         gangs.per_s = 1.16;
         gangs.cpu = LogNormal(9_000.0, 0.4, 15_000.0);
         gangs.mem = LogNormal(13_000.0, 0.5, 26_000.0);
         gangs.work_ms = LogNormal(6_200.0, 0.5, 16_000.0);
-        gangs.asks = (650.0, 9.2);
+        gangs.advice_ms = (650.0, 9.2);
         gangs.worth = 19.2;
-        patient.cpu = LogNormal(2_000.0, 0.45, 5_900.0);
-        patient.mem = LogNormal(2_800.0, 0.6, 8_400.0);
-        patient.asks = (82.0, 1.2);
+        non_urgent.cpu = LogNormal(2_000.0, 0.45, 5_900.0);
+        non_urgent.mem = LogNormal(2_800.0, 0.6, 8_400.0);
+        non_urgent.advice_ms = (82.0, 1.2);
         urgent.cpu = LogNormal(2_800.0, 0.45, 8_400.0);
         urgent.mem = LogNormal(2_900.0, 0.6, 8_600.0);
-        urgent.asks = (7.4, 0.11);
+        urgent.advice_ms = (7.4, 0.11);
         load.name = "rough estimates, calm";
         load.capacity = Resources { cpu: 32_000, mem: 65_536, acc: 0 };
         load.connections = 8;
@@ -210,22 +210,22 @@
     /// A calm day with large runners: 64 cores, 256 GB.
     pub fn large_runners(runners: usize) -> Self {
         let mut load = Self::small_runners(runners);
-        let [gangs, patient, urgent] = &mut load.kinds;
+        let [gangs, non_urgent, urgent] = &mut load.kinds;
         gangs.cpu = LogNormal(18_000.0, 0.4, 30_000.0);
         gangs.mem = LogNormal(37_000.0, 0.5, 75_000.0);
-        gangs.asks = (410.0, 5.9);
+        gangs.advice_ms = (410.0, 5.9);
         gangs.worth = 9.3;
-        patient.per_s = 6.8;
-        patient.cpu = LogNormal(3_900.0, 0.45, 12_000.0);
-        patient.mem = LogNormal(11_000.0, 0.6, 34_000.0);
-        patient.work_ms = LogNormal(2_200.0, 0.5, 5_400.0);
-        patient.asks = (53.0, 0.75);
-        patient.worth = 1.5;
+        non_urgent.per_s = 6.8;
+        non_urgent.cpu = LogNormal(3_900.0, 0.45, 12_000.0);
+        non_urgent.mem = LogNormal(11_000.0, 0.6, 34_000.0);
+        non_urgent.work_ms = LogNormal(2_200.0, 0.5, 5_400.0);
+        non_urgent.advice_ms = (53.0, 0.75);
+        non_urgent.worth = 1.5;
         urgent.per_s = 31.0;
         urgent.cpu = LogNormal(5_600.0, 0.45, 17_000.0);
         urgent.mem = LogNormal(21_000.0, 0.6, 62_000.0);
         urgent.work_ms = LogNormal(1_000.0, 0.5, 2_500.0);
-        urgent.asks = (12.0, 0.17);
+        urgent.advice_ms = (12.0, 0.17);
         urgent.worth = 0.48;
         load.name = "large runners, calm";
         load.capacity = Resources { cpu: 64_000, mem: 262_144, acc: 0 };
@@ -238,22 +238,22 @@
     /// advice.
     pub fn many_runners(runners: usize) -> Self {
         let mut load = Self::small_runners(runners);
-        let [gangs, patient, urgent] = &mut load.kinds;
+        let [gangs, non_urgent, urgent] = &mut load.kinds;
         gangs.per_s = 5.9;
         gangs.width = LogNormal(20.0, 0.8, 120.0);
-        gangs.asks = (455.0, 6.5);
+        gangs.advice_ms = (455.0, 6.5);
         gangs.worth = 10.4;
-        patient.per_s = 7.9;
-        patient.width = LogNormal(25.0, 0.8, 150.0);
-        patient.cpu = LogNormal(1_700.0, 0.45, 5_200.0);
-        patient.mem = LogNormal(6_400.0, 0.6, 19_000.0);
-        patient.asks = (156.0, 2.34);
-        patient.worth = 4.86;
+        non_urgent.per_s = 7.9;
+        non_urgent.width = LogNormal(25.0, 0.8, 150.0);
+        non_urgent.cpu = LogNormal(1_700.0, 0.45, 5_200.0);
+        non_urgent.mem = LogNormal(6_400.0, 0.6, 19_000.0);
+        non_urgent.advice_ms = (156.0, 2.34);
+        non_urgent.worth = 4.86;
         urgent.per_s = 138.0;
         urgent.width = LogNormal(3.2, 0.8, 19.0);
         urgent.cpu = LogNormal(2_500.0, 0.45, 7_400.0);
         urgent.mem = LogNormal(7_100.0, 0.6, 21_000.0);
-        urgent.asks = (9.36, 0.13);
+        urgent.advice_ms = (9.36, 0.13);
         urgent.worth = 0.39;
         load.connections = 29;
         load.short_connections = 7;
@@ -264,24 +264,24 @@
     /// as processors, gangs are wide, estimates say little, and 97 instances can request advice.
     pub fn scarce_memory(runners: usize) -> Self {
         let mut load = Self::many_runners(runners);
-        let [gangs, patient, urgent] = &mut load.kinds;
+        let [gangs, non_urgent, urgent] = &mut load.kinds;
         gangs.per_s = 9.17;
         gangs.mem = LogNormal(6_500.0, 0.5, 13_000.0);
-        gangs.asks = (507.0, 7.28);
+        gangs.advice_ms = (507.0, 7.28);
         gangs.worth = 4.71;
-        patient.per_s = 12.2;
-        patient.width = LogNormal(19.0, 0.6, 96.0);
-        patient.cpu = LogNormal(2_800.0, 0.45, 8_300.0);
-        patient.mem = LogNormal(5_100.0, 0.6, 15_000.0);
-        patient.work_ms = LogNormal(2_700.0, 0.5, 6_800.0);
-        patient.asks = (182.0, 2.6);
-        patient.worth = 2.2;
+        non_urgent.per_s = 12.2;
+        non_urgent.width = LogNormal(19.0, 0.6, 96.0);
+        non_urgent.cpu = LogNormal(2_800.0, 0.45, 8_300.0);
+        non_urgent.mem = LogNormal(5_100.0, 0.6, 15_000.0);
+        non_urgent.work_ms = LogNormal(2_700.0, 0.5, 6_800.0);
+        non_urgent.advice_ms = (182.0, 2.6);
+        non_urgent.worth = 2.2;
         urgent.per_s = 86.9;
         urgent.width = LogNormal(3.1, 0.8, 19.0);
         urgent.cpu = LogNormal(3_900.0, 0.45, 12_000.0);
         urgent.mem = LogNormal(7_300.0, 0.6, 22_000.0);
         urgent.work_ms = LogNormal(1_000.0, 0.5, 2_500.0);
-        urgent.asks = (26.0, 0.364);
+        urgent.advice_ms = (26.0, 0.364);
         urgent.worth = 0.435;
         load.capacity = Resources { cpu: 16_000, mem: 32_768, acc: 0 };
         load.connections = 97 * runners / 540;
@@ -309,7 +309,7 @@
 
     fn queues(&self) -> Vec<Queue> {
         let of = |k: &QueueLoad| {
-            let (base_ms, each_ms) = k.asks;
+            let (base_ms, each_ms) = k.advice_ms;
             let approval = Approval { base_ms, each_ms, valid_ms: 2_000 };
             let slack = k.slack;
             let latency_ms = k.latency_ms;
@@ -433,8 +433,8 @@
                 let (steps, work_percent) = draw_job(load, k, &mut rng);
                 let longest = work_percent * (100 + load.work_spread) / 100;
                 let chain: u64 = steps.iter().map(|s| s.estimate * longest / 100).sum();
-                let asks = (k.asks.0 + 30.0 * k.asks.1) as u64 * steps.len() as u64;
-                let objective = (k.slack * (chain + asks) as f64) as u64 + k.latency_ms;
+                let advice = (k.advice_ms.0 + 30.0 * k.advice_ms.1) as u64 * steps.len() as u64;
+                let objective = (k.slack * (chain + advice) as f64) as u64 + k.latency_ms;
                 let worth = work_of(&steps, work_percent);
                 submitted.insert(id, SubmittedJob { kind, at: cell.now, objective, worth });
                 cell.work_percent.insert(id, work_percent);
--- a/tests/control_crashes.rs
+++ b/tests/control_crashes.rs
@@ -194,7 +194,7 @@
     assert_eq!((count(&cell), suspects(&cell)), (0, 0));
 }
 
-/// Guards against a crash late in the run, which looks like the occasional loss of a runner.
+/// Guards against a crash late in the run, which resembles the occasional loss of a runner.
 #[test]
 fn a_task_that_crashes_its_runners_late_fails_its_job() {
     let mut load = Workload::new(12, 4);
--- a/tests/control_engine.rs
+++ b/tests/control_engine.rs
@@ -434,7 +434,7 @@
     cell.check();
 }
 
-/// The policy is asked about runners, tickets expire, and approvals are remembered.
+/// Advice about runners is requested, tickets expire, and approvals are remembered.
 #[test]
 fn only_approved_runners_get_tasks() {
     let mut cell = Cell::new(12, 12);
@@ -500,7 +500,7 @@
 
 /// Guards against planning rounds of 20 ms, where the interval between rounds is 8 ms, with
 /// thousands of steps waiting on 350 runners: lookups start late, and so does everything else.
-/// 3,000 jobs arrive at once, half of them of a queue whose policy has to be asked, while the cell
+/// 3,000 jobs arrive at once, half of them of a queue that needs advice, while the cell
 /// has capacity for a quarter; lookups arrive one by one. A round must not plan every waiting step
 /// and check all runners for each.
 #[test]
--- a/tests/control_naming.rs
+++ b/tests/control_naming.rs
@@ -10,7 +10,7 @@
 use currantgw::kernel::res::Resources;
 
 /// Capacity of a runner.
-const ROOM: Resources = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
+const CAPACITY: Resources = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
 
 /// Maximum number of runners that the service accepts in a request.
 const MAX_NAMED: usize = 100;
@@ -19,7 +19,7 @@
 const RUNNERS: usize = 400;
 
 /// Number of instances, each with one connection to the advice service.
-const LINES: usize = 20;
+const CONNECTIONS: usize = 20;
 
 /// Approval costs of a queue of non-urgent gangs: a request takes up to 1 s.
 const GANGS: Approval = Approval { base_ms: 500.0, each_ms: 5.0, valid_ms: 2_000 };
@@ -38,10 +38,10 @@
         queue("lookups", 0, 3, Some(LOOKUPS)),
         queue("urgent", 0, 3, None),
     ];
-    let mut cell = Cell::with(RULES, RUNNERS, ROOM, queues, 7);
+    let mut cell = Cell::with(RULES, RUNNERS, CAPACITY, queues, 7);
     cell.approves = three_of_ten;
-    cell.connections = vec![0.0; LINES];
-    cell.engine.advice_connections = LINES;
+    cell.connections = vec![0.0; CONNECTIONS];
+    cell.engine.advice_connections = CONNECTIONS;
     cell.run(300);
     cell
 }
--- a/tests/control_path.rs
+++ b/tests/control_path.rs
@@ -174,7 +174,7 @@
 /// Guards against submissions answered with 504 instead of 503, after half a second, and advice
 /// requests lost ten times a second, while the store is unresponsive to all instances. The leader
 /// signalled that it could not reach the store by closing its links instead of by a message. The
-/// other instances reconnected at once, the first frame of each link made it look usable for a
+/// other instances reconnected at once, the first frame of each link made it appear usable for a
 /// moment, and writes relayed over it lost their answers with it.
 #[async_std::test]
 async fn refusals_are_definite_while_the_store_is_unresponsive() {
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -27,7 +27,7 @@
  "links": "127.0.0.1:3", "metrics": "127.0.0.1:4", "store": "127.0.0.1:5",
  "advice": "127.0.0.1:6", "hold_max_ms": 10000, "grace_ms": 6000, "keep_ms": 120000}"#;
 
-fn claim(priority: u32, begin: u64, objective: u64, chain: u64) -> RankInput {
+fn rank_input(priority: u32, begin: u64, objective: u64, chain: u64) -> RankInput {
     RankInput { priority, begin, objective, chain, capacity_wait: 0 }
 }
 
@@ -36,20 +36,20 @@
 #[test]
 fn late_jobs_are_not_starved() {
     let now = 20_000;
-    let recent = queue::rank(&claim(2, 19_900, 6_000, 3_000), now);
-    let long_late = queue::rank(&claim(2, 6_500, 6_000, 3_000), now);
-    let just_late = queue::rank(&claim(2, 16_000, 6_000, 3_000), now);
+    let recent = queue::rank(&rank_input(2, 19_900, 6_000, 3_000), now);
+    let long_late = queue::rank(&rank_input(2, 6_500, 6_000, 3_000), now);
+    let just_late = queue::rank(&rank_input(2, 16_000, 6_000, 3_000), now);
     assert!(long_late < recent && recent < just_late);
 }
 
 #[test]
-fn urgent_first_then_by_the_next_deadline_then_worthless() {
+fn urgent_first_then_by_the_next_deadline_then_no_value() {
     let now = 10_000;
-    let urgent = queue::rank(&claim(0, 9_900, 1_200, 600), now);
-    let tight = queue::rank(&claim(1, 9_000, 5_000, 3_000), now);
-    let loose = queue::rank(&claim(2, 8_000, 20_000, 3_000), now);
-    let late = queue::rank(&claim(1, 5_000, 6_000, 3_000), now);
-    let lost = queue::rank(&claim(0, 1_000, 1_200, 600), now);
+    let urgent = queue::rank(&rank_input(0, 9_900, 1_200, 600), now);
+    let tight = queue::rank(&rank_input(1, 9_000, 5_000, 3_000), now);
+    let loose = queue::rank(&rank_input(2, 8_000, 20_000, 3_000), now);
+    let late = queue::rank(&rank_input(1, 5_000, 6_000, 3_000), now);
+    let lost = queue::rank(&rank_input(0, 1_000, 1_200, 600), now);
     let mut order = [lost, late, loose, tight, urgent];
     order.sort();
     assert_eq!(order, [urgent, tight, late, loose, lost]);
@@ -122,7 +122,7 @@
 /// Urgent jobs that arrive in a burst on a cell full of non-urgent work start at once, on the
 /// capacity that is kept free for urgent queues.
 #[test]
-fn lookups_start_at_once_on_a_cell_full_of_patient_work() {
+fn lookups_start_at_once_on_a_cell_full_of_non_urgent_work() {
     let mut cell = Cell::new(20, 21);
     for n in 0..40 {
         cell.submit(n + 1, "patient", vec![step(20, 1_000, 8_000)]);
@@ -226,15 +226,15 @@
 #[test]
 fn preemption_for_a_gang_stops_as_little_as_possible() {
     let need = Resources { cpu: 9, mem: 0, acc: 0 };
-    let spots = vec![occupied(1, 4, &[2, 5, 6]), occupied(2, 10, &[8]), occupied(3, 0, &[3, 3])];
-    let plan = preemption::plan(spots.clone(), &need, 2).unwrap();
+    let runners = vec![occupied(1, 4, &[2, 5, 6]), occupied(2, 10, &[8]), occupied(3, 0, &[3, 3])];
+    let plan = preemption::plan(runners.clone(), &need, 2).unwrap();
     assert_eq!(plan.keys, vec![2, 1]);
     // 5 is the smallest victim that is enough together with the 4 that are free.
     assert_eq!(plan.stops, vec![(1, 11)]);
     // A third member fits once 8 is stopped in addition to the 1 that is left.
-    let plan = preemption::plan(spots.clone(), &need, 3).unwrap();
+    let plan = preemption::plan(runners.clone(), &need, 3).unwrap();
     assert_eq!(plan.stops, vec![(1, 11), (2, 20)]);
-    assert_eq!(preemption::plan(spots, &need, 4), None);
+    assert_eq!(preemption::plan(runners, &need, 4), None);
 }
 
 /// Guards against a gang that requests advice some twenty times and starts after up to a minute:
--- a/tests/control_provisional.rs
+++ b/tests/control_provisional.rs
@@ -45,7 +45,7 @@
         cell.submit(200 + n, "urgent", vec![step(1, 16_000, 5_000)]);
     }
     cell.run(6_000);
-    assert_eq!(cell.stored(job), JobState::Completed, "asked {} times", cell.requests.len());
+    assert_eq!(cell.stored(job), JobState::Completed, "{} advice requests", cell.requests.len());
     cell.check();
 }
 
--- a/tests/control_views.rs
+++ b/tests/control_views.rs
@@ -169,7 +169,7 @@
 
 /// Guards against an instance that gets no changes any more after it was cut off for seconds. The
 /// changes were more than its link transfers within the timeout of a poll, and each further poll
-/// asked for even more.
+/// requested even more.
 #[async_std::test]
 async fn a_small_link_catches_up_with_the_feed() {
     let cell = Cell::empty().await;
--- a/tests/platform_decoders.rs
+++ b/tests/platform_decoders.rs
@@ -170,10 +170,10 @@
     fn bounded(cat: &Catalogue) -> bool {
         let span = |ms: f64| (0.0..=model::MAX_MS as f64).contains(&ms);
         cat.queues.iter().all(|(name, q)| {
-            let asked = q.approval.is_none_or(|a| span(a.base_ms) && span(a.each_ms));
+            let approval = q.approval.is_none_or(|a| span(a.base_ms) && span(a.each_ms));
             let times = q.latency_ms.max(q.timeout_ms) <= model::MAX_MS;
             let sound = (0.0..=1_000.0).contains(&q.slack) && q.max_fails > 0;
-            *name == q.name && !q.prefix.is_empty() && asked && times && sound
+            *name == q.name && !q.prefix.is_empty() && approval && times && sound
         })
     }
 
@@ -538,9 +538,9 @@
             });
             let calls = RunnerCalls::new(ConnPool::new(Clock::real()));
             let to = RunnerCall { addr, id: "r".into() };
-            let hold = PollRequest { fence: 1, acked: 0, until: None, wait_ms: 1_000 };
+            let poll = PollRequest { fence: 1, acked: 0, until: None, wait_ms: 1_000 };
             let began = Instant::now();
-            let report = calls.poll(&to, &hold).await.unwrap();
+            let report = calls.poll(&to, &poll).await.unwrap();
             server.await;
             assert!(report.ends.is_empty());
             assert!(began.elapsed() >= Duration::from_millis(200));
@@ -641,7 +641,7 @@
 mod an_approval {
     use super::*;
 
-    fn asked() -> Vec<String> {
+    fn requested() -> Vec<String> {
         ["w1", "w2", "w3"].map(String::from).to_vec()
     }
 
@@ -650,11 +650,11 @@
     }
 
     fn read(body: &[u8]) -> Result<advice::Decoded, AdviceError> {
-        advice::decode(body, &asked())
+        advice::decode(body, &requested())
     }
 
     fn bounded(read: &advice::Decoded) -> bool {
-        let known = |t: &currantgw::control::ports::Ticket| asked().contains(&t.id);
+        let known = |t: &currantgw::control::ports::Ticket| requested().contains(&t.id);
         let approved = &read.advice.approved;
         approved.iter().all(|t| known(t) && !t.ticket.is_empty())
             && approved.is_sorted_by(|a, b| a.id < b.id)
--- a/tests/unreadable_rows.rs
+++ b/tests/unreadable_rows.rs
@@ -67,7 +67,7 @@
     ProgressRow { state: JobState::Running, ended: 0, steps: vec![first, second] }
 }
 
-fn holder() -> LeaderRow {
+fn leader() -> LeaderRow {
     let links = Some("127.0.0.1:9000".parse().unwrap());
     LeaderRow { node: "n".into(), life: 7, links, size: 250 }
 }
@@ -95,7 +95,7 @@
         longer,
         deep,
         rows::encode(&7),
-        rows::encode(&holder()),
+        rows::encode(&leader()),
     ]
 }
 
@@ -218,7 +218,7 @@
     refused::<ProgressRow>(&changed(|r| r.steps[0].2[0].1 = u32::MAX), "failures");
     refused::<ProgressRow>(&changed(|r| r.steps[0].0 = u32::MAX), "failures");
     refused::<ProgressRow>(&changed(|r| r.ended = u64::MAX), "moment");
-    refused::<LeaderRow>(&LeaderRow { size: u64::MAX, ..holder() }, "size");
+    refused::<LeaderRow>(&LeaderRow { size: u64::MAX, ..leader() }, "size");
 }
 
 /// The fields of a row as CBOR.
@@ -264,7 +264,7 @@
     check_fields(&job(), &[text("queue")]);
     check_fields(&progress(), &[]);
     let links = [("links", None), ("links", Some(Value::Null))];
-    check_fields(&holder(), &[text("node"), links[0].clone(), links[1].clone(), ("size", None)]);
+    check_fields(&leader(), &[text("node"), links[0].clone(), links[1].clone(), ("size", None)]);
     // Rows of steps that were written before attempts without a known end were stored.
     let old = (0u32, 0u32, Vec::<TaskRow>::new());
     assert_eq!(rows::decode::<StepRow>(&rows::encode(&old)).unwrap().3, BTreeSet::new());
