--- a/src/control/engine/advice_targets.rs
+++ b/src/control/engine/advice_targets.rs
@@ -45,7 +45,8 @@
         let need = v.step.demand();
         let runners_with_cpu = self.runners_with_cpu(&v.queue.service, need.cpu, now);
         let on = self.tasks_per_runner(v);
-        let fits = |k| self.place_on(v, k, &on, reserved, now).is_some_and(|p| need.fits(&p.free));
+        let fits =
+            |k| self.candidate_on(v, k, &on, reserved, now).is_some_and(|p| need.fits(&p.free));
         v.queue.approval.is_some()
             && runners_with_cpu.into_iter().any(|k| !self.advice_known(v, k) && fits(k))
     }
@@ -141,15 +142,15 @@
         let all = self.runners_with_cpu(&v.queue.service, 0, now);
         let on = self.tasks_per_runner(v);
         let unnamed = |k: &RunnerKey| !self.advice_known(v, *k);
-        let place = |k: RunnerKey| self.place_on(v, k, &on, reserved, now);
-        let places = all.iter().copied().filter(unnamed).filter_map(place);
+        let candidate = |k: RunnerKey| self.candidate_on(v, k, &on, reserved, now);
+        let candidates = all.iter().copied().filter(unnamed).filter_map(candidate);
         match v.kind() {
-            Kind::Gang => self.select_gang_runners(v, places, missing),
+            Kind::Gang => self.select_gang_runners(v, candidates, missing),
             Kind::Urgent | Kind::Other => {
                 let remaining =
                     |p: &Candidate<RunnerKey>| p.free.sub(&self.runners.get(p.key).anticipated);
                 let (mut fit, full): (Vec<_>, Vec<_>) =
-                    places.partition(|p| need.fits(&remaining(p)));
+                    candidates.partition(|p| need.fits(&remaining(p)));
                 self.sort_by_policy(v, &mut fit);
                 self.select_runners(v, fit.into_iter().chain(full), missing)
             }
@@ -171,14 +172,14 @@
     fn select_runners(
         &self,
         v: &StepView<'_>,
-        places: impl Iterator<Item = Candidate<RunnerKey>>,
+        candidates: impl Iterator<Item = Candidate<RunnerKey>>,
         missing: usize,
     ) -> Vec<RunnerKey> {
         let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
         let limit = if v.step.gang { MAX_NAMED } else { MAX_NAMED_SINGLE };
         let (mut unplaced, mut needed) = (missing as u64, 0);
         let mut out = Vec::new();
-        for p in places.take(limit) {
+        for p in candidates.take(limit) {
             if unplaced == 0 && out.len() >= rate.runners_to_name(needed) {
                 break;
             }
@@ -197,7 +198,7 @@
     fn select_gang_runners(
         &self,
         v: &StepView<'_>,
-        mut places: impl Iterator<Item = Candidate<RunnerKey>>,
+        mut candidates: impl Iterator<Item = Candidate<RunnerKey>>,
         count: usize,
     ) -> Vec<RunnerKey> {
         let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
@@ -205,7 +206,7 @@
         let mut slots = 0;
         let mut out = Vec::new();
         while rate.expected(slots * 100) < target {
-            let batch: Vec<_> = places.by_ref().take(MAX_NAMED).collect();
+            let batch: Vec<_> = candidates.by_ref().take(MAX_NAMED).collect();
             if batch.is_empty() {
                 break;
             }
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -116,12 +116,12 @@
         self.loss_rate.record_end(ran.unwrap_or(0), now.mono);
     }
 
-    /// Of these places, the runners on which a task runs that was last lost together with this one:
+    /// Of these candidates, the runners on which a task runs that was last lost together with this one:
     /// if both were lost again, the cause could still not be attributed to one of them.
     pub(super) fn runners_with_companions(
         &self,
         id: TaskId,
-        places: &[Candidate<RunnerKey>],
+        candidates: &[Candidate<RunnerKey>],
     ) -> BTreeSet<RunnerKey> {
         let Some(losses) = self.task(id).map(|t| t.losses).filter(Losses::suspect) else {
             return BTreeSet::new();
@@ -130,7 +130,7 @@
             let mut suspects = self.runners.get(*k).suspects.values();
             suspects.any(|other| other.lost_together(&losses))
         };
-        places.iter().map(|p| p.key).filter(meets).collect()
+        candidates.iter().map(|p| p.key).filter(meets).collect()
     }
 
     /// Clears the losses of a task whose run has lasted long enough: it does not crash its runner.
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -200,7 +200,7 @@
             _ if v.step.gang => return self.all_candidates(v, reserved, now),
             _ => self.runners_with_cpu(&v.queue.service, v.step.demand().cpu, now),
         };
-        self.places(v, &keys, reserved, now)
+        self.candidates_among(v, &keys, reserved, now)
     }
 
     /// Every runner that could run tasks of the step, approved or not.
@@ -211,10 +211,10 @@
         now: Now,
     ) -> Vec<Candidate<RunnerKey>> {
         let keys: Vec<RunnerKey> = self.runners.iter().map(|(k, _)| k).collect();
-        self.places(v, &keys, reserved, now)
+        self.candidates_among(v, &keys, reserved, now)
     }
 
-    fn places(
+    fn candidates_among(
         &mut self,
         v: &StepView<'_>,
         keys: &[RunnerKey],
@@ -223,12 +223,12 @@
     ) -> Vec<Candidate<RunnerKey>> {
         self.counts.looks += keys.len() as u64;
         let on = self.tasks_per_runner(v);
-        keys.iter().filter_map(|&k| self.place_on(v, k, &on, reserved, now)).collect()
+        keys.iter().filter_map(|&k| self.candidate_on(v, k, &on, reserved, now)).collect()
     }
 
     /// The capacity that a runner has for a step of which `on` tasks run on each runner; `None` if
     /// the runner may not run the step.
-    pub(super) fn place_on(
+    pub(super) fn candidate_on(
         &self,
         v: &StepView<'_>,
         k: RunnerKey,
@@ -372,12 +372,12 @@
     fn runners_to_avoid(
         &self,
         ids: impl IntoIterator<Item = TaskId>,
-        places: &[Candidate<RunnerKey>],
+        candidates: &[Candidate<RunnerKey>],
     ) -> BTreeSet<RunnerKey> {
         let mut out = BTreeSet::new();
         for id in ids {
             out.extend(self.task(id).into_iter().flat_map(|t| &t.avoid));
-            out.append(&mut self.runners_with_companions(id, places));
+            out.append(&mut self.runners_with_companions(id, candidates));
         }
         out
     }
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -79,7 +79,7 @@
     pub store: Arc<dyn Store>,
     /// The runners.
     pub runners: Arc<dyn Runners>,
-    /// Connections to the advice service.
+    /// Link server, with the connections to the advice service.
     pub server: Arc<LinkServer>,
     /// Local cache of the store's tables.
     pub mirror: Arc<Mirror>,
--- a/src/control/links/server.rs
+++ b/src/control/links/server.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Connections to the advice service, each with a request queue: this instance's own, and one for
-/// each linked instance.
+/// Link server: the connections to the advice service, each with a request queue. One is this
+/// instance's own, and there is one for each linked instance.
 pub struct LinkServer {
     local: Option<Arc<dyn Advisor>>,
     links: Mutex<BTreeMap<u64, Link>>,
@@ -187,7 +187,7 @@
 
 /// Accepts links of other instances and handles their frames.
 pub struct LinkAcceptor {
-    /// Connections to the advice service.
+    /// Link server, with the connections to the advice service.
     pub server: Arc<LinkServer>,
     /// Local cache, which receives jobs that other instances have stored.
     pub mirror: Arc<Mirror>,
--- a/src/control/place.rs
+++ b/src/control/place.rs
@@ -86,22 +86,22 @@
     p.limit.min(u32::try_from(n).unwrap_or(u32::MAX))
 }
 
-/// Number of tasks of the step that fit on all of `places` together.
-pub fn capacity<K>(places: &[Candidate<K>], need: &Resources) -> u64 {
-    places.iter().map(|p| u64::from(slots(p, need))).sum()
+/// Number of tasks of the step that fit on all of `candidates` together.
+pub fn capacity<K>(candidates: &[Candidate<K>], need: &Resources) -> u64 {
+    candidates.iter().map(|p| u64::from(slots(p, need))).sum()
 }
 
 /// Chooses the best runner for one task and subtracts its resources there. The order of preference
 /// is: a proven runner if the task failed before, away from suspects, near its data, then the
 /// placement policy.
 pub fn place_one<K: Copy + Ord>(
-    places: &mut [Candidate<K>],
+    candidates: &mut [Candidate<K>],
     request: &PlacementRequest,
     avoid: &BTreeSet<K>,
     failed: bool,
 ) -> Option<K> {
     let fits = |(_, p): &(usize, &mut Candidate<K>)| slots(p, &request.need) > 0;
-    let (_, best) = places.iter_mut().enumerate().filter(fits).min_by_key(|(index, p)| {
+    let (_, best) = candidates.iter_mut().enumerate().filter(fits).min_by_key(|(index, p)| {
         let far = request.rack.is_some_and(|r| r != p.rack);
         let left = p.free.sub(&request.need);
         let unproven = failed && !p.proven;
@@ -117,30 +117,30 @@
 /// Chooses runners for all `count` tasks, or for none of them. A step that is slower across racks
 /// goes to the rack with the least free capacity that still takes all of it, if there is one.
 pub fn place_all<K: Copy + Ord>(
-    places: &mut Vec<Candidate<K>>,
+    candidates: &mut Vec<Candidate<K>>,
     request: &PlacementRequest,
     count: usize,
     avoid: &BTreeSet<K>,
 ) -> Option<Vec<K>> {
     if request.one_rack {
-        if let Some(rack) = one_rack(places, request, count) {
-            places.retain(|p| p.rack == rack);
+        if let Some(rack) = one_rack(candidates, request, count) {
+            candidates.retain(|p| p.rack == rack);
         }
     }
-    if capacity(places, &request.need) < count as u64 {
+    if capacity(candidates, &request.need) < count as u64 {
         return None;
     }
-    (0..count).map(|_| place_one(places, request, avoid, false)).collect()
+    (0..count).map(|_| place_one(candidates, request, avoid, false)).collect()
 }
 
 fn one_rack<K: Copy + Ord>(
-    places: &[Candidate<K>],
+    candidates: &[Candidate<K>],
     request: &PlacementRequest,
     count: usize,
 ) -> Option<u32> {
-    let racks: BTreeSet<u32> = places.iter().map(|p| p.rack).collect();
+    let racks: BTreeSet<u32> = candidates.iter().map(|p| p.rack).collect();
     let rack_slots = |rack: u32| -> u64 {
-        let here = places.iter().filter(|p| p.rack == rack);
+        let here = candidates.iter().filter(|p| p.rack == rack);
         here.map(|p| u64::from(slots(p, &request.need))).sum()
     };
     let large_enough = racks.into_iter().filter(|&r| rack_slots(r) >= count as u64);
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Front end of the writers of one instance: one queue for each partition.
+/// Submission writer of one instance: a queue and a [`Writer`] for each partition.
 pub struct SubmissionWriter {
     parts: Vec<Sender<Request>>,
     /// Health of each partition of the store. Some partitions can be unavailable while others
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -82,40 +82,43 @@
 /// Small tasks go where little capacity is left, so that whole runners stay free for gangs.
 #[test]
 fn small_tasks_fill_gaps_first() {
-    let mut places = vec![candidate(0, 16_000, 0), candidate(1, 1_200, 0), candidate(2, 5_000, 0)];
+    let mut candidates =
+        vec![candidate(0, 16_000, 0), candidate(1, 1_200, 0), candidate(2, 5_000, 0)];
     let none = BTreeSet::new();
-    assert_eq!(place::place_one(&mut places, &request(1_000), &none, false), Some(1));
-    assert_eq!(place::place_one(&mut places, &request(1_000), &none, false), Some(2));
-    let gang = place::place_all(&mut places, &request(4_500), 3, &none);
+    assert_eq!(place::place_one(&mut candidates, &request(1_000), &none, false), Some(1));
+    assert_eq!(place::place_one(&mut candidates, &request(1_000), &none, false), Some(2));
+    let gang = place::place_all(&mut candidates, &request(4_500), 3, &none);
     assert_eq!(gang, Some(vec![0, 0, 0]));
 }
 
 #[test]
 fn a_failed_task_goes_to_a_proven_runner_and_not_back() {
-    let mut places = vec![candidate(0, 1_000, 0), candidate(1, 2_000, 0), candidate(2, 9_000, 0)];
-    places[2].proven = true;
+    let mut candidates =
+        vec![candidate(0, 1_000, 0), candidate(1, 2_000, 0), candidate(2, 9_000, 0)];
+    candidates[2].proven = true;
     let avoid = BTreeSet::from([0]);
-    assert_eq!(place::place_one(&mut places, &request(500), &avoid, true), Some(2));
+    assert_eq!(place::place_one(&mut candidates, &request(500), &avoid, true), Some(2));
 }
 
 #[test]
 fn all_or_nothing_and_one_rack_where_it_fits() {
     let none = BTreeSet::new();
-    let mut places = vec![candidate(0, 9_000, 1), candidate(1, 4_000, 2), candidate(2, 5_000, 2)];
-    assert_eq!(place::place_all(&mut places.clone(), &request(4_500), 5, &none), None);
+    let mut candidates =
+        vec![candidate(0, 9_000, 1), candidate(1, 4_000, 2), candidate(2, 5_000, 2)];
+    assert_eq!(place::place_all(&mut candidates.clone(), &request(4_500), 5, &none), None);
     let together = PlacementRequest { one_rack: true, ..request(4_000) };
-    let placed = place::place_all(&mut places, &together, 2, &none).unwrap();
+    let placed = place::place_all(&mut candidates, &together, 2, &none).unwrap();
     assert!(placed == vec![1, 2] || placed == vec![2, 1] || placed == vec![0, 0], "{placed:?}");
     assert!(!placed.contains(&0) || placed.iter().all(|k| *k == 0));
 }
 
 #[test]
 fn per_runner_limits_hold() {
-    let mut places = vec![candidate(0, 16_000, 0), candidate(1, 16_000, 0)];
-    places.iter_mut().for_each(|p| p.limit = 2);
+    let mut candidates = vec![candidate(0, 16_000, 0), candidate(1, 16_000, 0)];
+    candidates.iter_mut().for_each(|p| p.limit = 2);
     let none = BTreeSet::new();
     let all: Vec<_> =
-        (0..5).map(|_| place::place_one(&mut places, &request(10), &none, false)).collect();
+        (0..5).map(|_| place::place_one(&mut candidates, &request(10), &none, false)).collect();
     assert_eq!(all.iter().flatten().count(), 4);
 }
 
@@ -537,11 +540,12 @@
 #[test]
 fn suspects_are_kept_apart() {
     let none = BTreeSet::new();
-    let mut places = vec![candidate(1, 2_000, 0), candidate(2, 4_000, 0), candidate(3, 6_000, 0)];
-    places[0].suspects = 1;
+    let mut candidates =
+        vec![candidate(1, 2_000, 0), candidate(2, 4_000, 0), candidate(3, 6_000, 0)];
+    candidates[0].suspects = 1;
     let suspect = PlacementRequest { suspect: true, ..request(1_000) };
-    assert_eq!(place::place_one(&mut places, &suspect, &none, false), Some(2));
-    assert_eq!(place::place_one(&mut places, &suspect, &none, false), Some(3));
-    places[0].repeat_suspect = true;
-    assert_eq!(place::place_one(&mut places, &request(1_000), &none, false), Some(2));
+    assert_eq!(place::place_one(&mut candidates, &suspect, &none, false), Some(2));
+    assert_eq!(place::place_one(&mut candidates, &suspect, &none, false), Some(3));
+    candidates[0].repeat_suspect = true;
+    assert_eq!(place::place_one(&mut candidates, &request(1_000), &none, false), Some(2));
 }
