--- a/src/control/engine/ask.rs
+++ b/src/control/engine/advice_targets.rs
@@ -3,7 +3,7 @@
 //! Needed for cells of hundreds of runners that are four fifths full, where each step may run on a
 //! part of them that only an advice request reveals. The cost of a request depends little on the
 //! number of runners that it names, so that the connections to the service bound how many runners a
-//! second can be asked about.
+//! second can be checked.
 //!
 //! Steps of single tasks name the runners whose free capacity they fill up best. Tasks can only be
 //! placed on runners that were named, and naming the emptiest ones would fragment the capacity that
@@ -12,10 +12,10 @@
 //! objective before enough of them are known.
 
 use super::advice::{Kind, MAX_NAMED};
+use super::gang_reservations::GangReservations;
 use super::plan::StepView;
-use super::reserve::GangReservations;
 use super::{Engine, Now, RunnerKey};
-use crate::control::place::{self, Place, Placement};
+use crate::control::place::{self, Candidate, Placement};
 use crate::kernel::res::Resources;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -45,7 +45,8 @@
         let need = v.step.demand();
         let runners_with_cpu = self.runners_with_cpu(&v.queue.service, need.cpu, now);
         let on = self.tasks_per_runner(v);
-        let fits = |k| self.place_on(v, k, &on, reserved, now).is_some_and(|p| need.fits(&p.free));
+        let fits =
+            |k| self.candidate_on(v, k, &on, reserved, now).is_some_and(|p| need.fits(&p.free));
         v.queue.approval.is_some()
             && runners_with_cpu.into_iter().any(|k| !self.advice_known(v, k) && fits(k))
     }
@@ -56,8 +57,8 @@
         approvals.is_some_and(|a| a.tickets.contains_key(&k) || a.denied.contains(&k))
     }
 
-    /// Requests advice about approved runners with free capacity, whose tickets have expired, or, if
-    /// there are none, about runners not named yet. Gangs name only the latter.
+    /// Requests advice about approved runners with free capacity, whose tickets have expired, or,
+    /// if there are none, about runners not named yet. Gangs name only the latter.
     pub(super) fn request_advice(
         &mut self,
         v: &StepView<'_>,
@@ -141,15 +142,15 @@
         let all = self.runners_with_cpu(&v.queue.service, 0, now);
         let on = self.tasks_per_runner(v);
         let unnamed = |k: &RunnerKey| !self.advice_known(v, *k);
-        let place = |k: RunnerKey| self.place_on(v, k, &on, reserved, now);
-        let places = all.iter().copied().filter(unnamed).filter_map(place);
+        let candidate = |k: RunnerKey| self.candidate_on(v, k, &on, reserved, now);
+        let candidates = all.iter().copied().filter(unnamed).filter_map(candidate);
         match v.kind() {
-            Kind::Gang => self.select_gang_runners(v, places, missing),
+            Kind::Gang => self.select_gang_runners(v, candidates, missing),
             Kind::Urgent | Kind::Other => {
                 let remaining =
-                    |p: &Place<RunnerKey>| p.free.sub(&self.runners.get(p.key).anticipated);
+                    |p: &Candidate<RunnerKey>| p.free.sub(&self.runners.get(p.key).anticipated);
                 let (mut fit, full): (Vec<_>, Vec<_>) =
-                    places.partition(|p| need.fits(&remaining(p)));
+                    candidates.partition(|p| need.fits(&remaining(p)));
                 self.sort_by_policy(v, &mut fit);
                 self.select_runners(v, fit.into_iter().chain(full), missing)
             }
@@ -158,7 +159,7 @@
 
     /// Orders runners with enough capacity, given largest first, by the placement policy: tasks can
     /// only be placed on runners that were named.
-    fn sort_by_policy(&self, v: &StepView<'_>, fit: &mut [Place<RunnerKey>]) {
+    fn sort_by_policy(&self, v: &StepView<'_>, fit: &mut [Candidate<RunnerKey>]) {
         match self.rules.placement {
             Placement::BestFit => fit.reverse(),
             Placement::FirstFit => fit.sort_unstable_by_key(|p| p.key),
@@ -171,14 +172,14 @@
     fn select_runners(
         &self,
         v: &StepView<'_>,
-        places: impl Iterator<Item = Place<RunnerKey>>,
+        candidates: impl Iterator<Item = Candidate<RunnerKey>>,
         missing: usize,
     ) -> Vec<RunnerKey> {
         let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
         let limit = if v.step.gang { MAX_NAMED } else { MAX_NAMED_SINGLE };
         let (mut unplaced, mut needed) = (missing as u64, 0);
         let mut out = Vec::new();
-        for p in places.take(limit) {
+        for p in candidates.take(limit) {
             if unplaced == 0 && out.len() >= rate.runners_to_name(needed) {
                 break;
             }
@@ -197,7 +198,7 @@
     fn select_gang_runners(
         &self,
         v: &StepView<'_>,
-        mut places: impl Iterator<Item = Place<RunnerKey>>,
+        mut candidates: impl Iterator<Item = Candidate<RunnerKey>>,
         count: usize,
     ) -> Vec<RunnerKey> {
         let rate = self.approval_rates.get(&v.queue.name).copied().unwrap_or_default();
@@ -205,11 +206,11 @@
         let mut slots = 0;
         let mut out = Vec::new();
         while rate.expected(slots * 100) < target {
-            let batch: Vec<_> = places.by_ref().take(MAX_NAMED).collect();
+            let batch: Vec<_> = candidates.by_ref().take(MAX_NAMED).collect();
             if batch.is_empty() {
                 break;
             }
-            let found = |p: &Place<RunnerKey>| u64::from(place::slots(p, &v.step.demand()));
+            let found = |p: &Candidate<RunnerKey>| u64::from(place::slots(p, &v.step.demand()));
             slots += batch.iter().map(found).sum::<u64>();
             out.extend(batch.iter().map(|p| p.key));
         }
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -5,14 +5,14 @@
 use super::{Engine, Now, RunnerKey, Task};
 use crate::control::crashes::{Losses, STABLE_MS};
 use crate::control::model::{Attempt, TaskId};
-use crate::control::place::Place;
+use crate::control::place::Candidate;
 use std::collections::BTreeSet;
 
 /// Reason for which runs without a reported completion are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Loss {
     /// Another incarnation answers at their runner's address.
-    OtherLife,
+    OtherIncarnation,
     /// Their runner's lease has expired.
     LeaseOver,
     /// The other members of their gang ended as broken, and their runner does not answer.
@@ -23,7 +23,7 @@
     /// Name in log lines and metrics.
     fn name(self) -> &'static str {
         match self {
-            Self::OtherLife => "another life",
+            Self::OtherIncarnation => "another life",
             Self::LeaseOver => "lease over",
             Self::GangBroken => "gang broken",
         }
@@ -31,9 +31,9 @@
 }
 
 /// How long a run is known to have run until its runner stopped answering, ms.
-fn observed_run_ms(task: &Task, silent_since: u64) -> Option<u64> {
+fn observed_run_ms(task: &Task, unanswered_since: u64) -> Option<u64> {
     let began = task.run.as_ref().map(|r| r.progress.began).filter(|at| *at > 0)?;
-    Some(silent_since.saturating_sub(began))
+    Some(unanswered_since.saturating_sub(began))
 }
 
 impl Engine {
@@ -60,14 +60,14 @@
     /// Counts the loss of runs against their tasks, unless their runner was draining.
     pub(super) fn record_lost(&mut self, k: RunnerKey, lost: &[TaskId], why: Loss, now: Now) {
         let runner = self.runners.get(k);
-        let silent_since = runner.unanswered_since.unwrap_or(now.mono);
+        let unanswered_since = runner.unanswered_since.unwrap_or(now.mono);
         let draining = runner.entry.as_ref().is_some_and(|e| e.draining);
         // A runner that is still registered when its lease expires is unreachable and has not
         // crashed.
         let crashed = why != Loss::LeaseOver || !runner.listed;
-        lost.iter().for_each(|id| self.log_lost(k, *id, why, silent_since, now));
+        lost.iter().for_each(|id| self.log_lost(k, *id, why, unanswered_since, now));
         if !draining {
-            self.count_lost(k, lost, silent_since, crashed, now);
+            self.count_lost(k, lost, unanswered_since, crashed, now);
         }
     }
 
@@ -77,7 +77,7 @@
         &mut self,
         k: RunnerKey,
         lost: &[TaskId],
-        silent_since: u64,
+        unanswered_since: u64,
         crashed: bool,
         now: Now,
     ) {
@@ -86,23 +86,23 @@
         let rate = self.loss_rate;
         for &id in lost {
             let Some(task) = self.task_mut(id).filter(|t| t.was_sent()) else { continue };
-            let ran = observed_run_ms(task, silent_since);
+            let ran = observed_run_ms(task, unanswered_since);
             let conclusive = ran.filter(|_| crashed && task.losses.count == most_losses);
             let chance = conclusive.map_or(1.0, |ms| rate.chance(ms));
-            task.losses.add(task.attempt, k, chance);
+            task.losses.record_loss(task.attempt, k, chance);
             self.mark_changed(id.step.job);
-            self.loss_rate.lost(ran.unwrap_or(0), now.mono);
+            self.loss_rate.record_loss(ran.unwrap_or(0), now.mono);
         }
     }
 
-    fn log_lost(&self, k: RunnerKey, id: TaskId, why: Loss, silent_since: u64, now: Now) {
+    fn log_lost(&self, k: RunnerKey, id: TaskId, why: Loss, unanswered_since: u64, now: Now) {
         let runner = self.runners.get(k);
         let Some(task) = self.task(id) else { return };
         let Some(run) = &task.run else { return };
         metrics::counter!("control_runs_lost", "why" => why.name()).increment(1);
         log::info!(task:% = id, attempt = task.attempt.0, runner = runner.id, why = why.name(),
-            stage = run.stage.name(), ran_ms:? = observed_run_ms(task, silent_since),
-            silent_ms = now.mono - silent_since, beside = runner.tasks.len().saturating_sub(1),
+            stage = run.stage.name(), ran_ms:? = observed_run_ms(task, unanswered_since),
+            silent_ms = now.mono - unanswered_since, beside = runner.tasks.len().saturating_sub(1),
             lost_before = task.losses.count; "run lost with its runner");
     }
 
@@ -111,17 +111,17 @@
         let Some(task) = self.task_mut(id) else { return };
         let ran = observed_run_ms(task, now.mono);
         if !done {
-            task.losses.ended(task.attempt);
+            task.losses.record_end(task.attempt);
         }
-        self.loss_rate.ended(ran.unwrap_or(0), now.mono);
+        self.loss_rate.record_end(ran.unwrap_or(0), now.mono);
     }
 
-    /// Of these places, the runners on which a task runs that was last lost together with this one:
+    /// Of these candidates, the runners on which a task runs that was last lost together with this one:
     /// if both were lost again, the cause could still not be attributed to one of them.
     pub(super) fn runners_with_companions(
         &self,
         id: TaskId,
-        places: &[Place<RunnerKey>],
+        candidates: &[Candidate<RunnerKey>],
     ) -> BTreeSet<RunnerKey> {
         let Some(losses) = self.task(id).map(|t| t.losses).filter(Losses::suspect) else {
             return BTreeSet::new();
@@ -130,7 +130,7 @@
             let mut suspects = self.runners.get(*k).suspects.values();
             suspects.any(|other| other.lost_together(&losses))
         };
-        places.iter().map(|p| p.key).filter(meets).collect()
+        candidates.iter().map(|p| p.key).filter(meets).collect()
     }
 
     /// Clears the losses of a task whose run has lasted long enough: it does not crash its runner.
--- a/tests/control_leader.rs
+++ b/tests/control_leader.rs
@@ -1,20 +1,20 @@
 //! The leader beside the other tasks of its process.
 
+use currantgw::control::election::{Election, Term};
 use currantgw::control::engine::Rules;
 use currantgw::control::leader::Leader;
-use currantgw::control::links::desk::Desk;
+use currantgw::control::links::server::LinkServer;
 use currantgw::control::mirror::{Mirror, Table};
 use currantgw::control::model::{JobId, JobSpec, Step};
-use currantgw::control::office::{Office, Term};
-use currantgw::control::parts;
+use currantgw::control::partitions;
 use currantgw::control::place::Placement;
 use currantgw::control::ports::{
-    Changes, Commit, CommitError, Hold, Key, Order, Page, ReadError, Refusal, Report, Row,
-    RunnerCall, Runners, Start, Store, Txn,
+    Changes, Commit, CommitError, Key, Page, PollRequest, ReadError, Refusal, Report, Row,
+    RunnerCall, Runners, StartOrder, StopOrder, Store, Txn,
 };
-use currantgw::control::pulse::Pulse;
 use currantgw::control::rows::{self, JobRow};
 use currantgw::control::settings::NodeSettings;
+use currantgw::control::store_health::StoreHealth;
 use currantgw::kernel::clock::Clock;
 use currantgw::kernel::stop;
 use futures::task;
@@ -80,15 +80,15 @@
 
 #[tide::utils::async_trait]
 impl Runners for Unreachable {
-    async fn start(&self, _: &RunnerCall, _: &Start) -> Result<u64, Refusal> {
+    async fn start(&self, _: &RunnerCall, _: &StartOrder) -> Result<u64, Refusal> {
         Err(Refusal::Unreachable)
     }
 
-    async fn stop(&self, _: &RunnerCall, _: &Order) -> Result<u64, Refusal> {
+    async fn stop(&self, _: &RunnerCall, _: &StopOrder) -> Result<u64, Refusal> {
         Err(Refusal::Unreachable)
     }
 
-    async fn hold(&self, _: &RunnerCall, _: &Hold) -> Result<Report, Refusal> {
+    async fn poll(&self, _: &RunnerCall, _: &PollRequest) -> Result<Report, Refusal> {
         Err(Refusal::Unreachable)
     }
 }
@@ -124,19 +124,19 @@
 
 fn leader(clock: &Clock, store: Arc<Empty>) -> Leader {
     let store: Arc<dyn Store> = store;
-    let pulse = Arc::new(Pulse::new(clock.clone()));
+    let store_health = Arc::new(StoreHealth::new(clock.clone()));
     let rules = Rules {
-        hold_ms: 8_000,
-        yield_ms: 10_000,
+        lease_ms: 8_000,
+        step_down_ms: 10_000,
         keep_ms: 120_000,
         placement: Placement::default(),
     };
     Leader {
         store: store.clone(),
         runners: Arc::new(Unreachable),
-        desk: Arc::new(Desk::new(None, clock.clone())),
-        mirror: Arc::new(Mirror::new(store.clone(), pulse, clock.clone())),
-        office: Arc::new(Office::new(store, clock.clone(), &settings())),
+        server: Arc::new(LinkServer::new(None, clock.clone())),
+        mirror: Arc::new(Mirror::new(store.clone(), store_health, clock.clone())),
+        election: Arc::new(Election::new(store, clock.clone(), &settings())),
         clock: clock.clone(),
         rules,
         cross_part: true,
@@ -168,7 +168,7 @@
     let clock = Clock::real();
     let (_trigger, stop) = stop::pair();
     let leader = leader(&clock, Arc::default());
-    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; parts::COUNT] }, &stop));
+    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; partitions::COUNT] }, &stop));
     longest_poll(&mut serve, Duration::from_millis(200));
     for id in 0..EVENTS {
         leader.mirror.put_cancel(JobId(id));
@@ -185,7 +185,7 @@
     let store = Arc::new(Empty::default());
     let leader = leader(&clock, store.clone());
     async_std::task::block_on(leader.mirror.poll(Table::Config, 0)).unwrap();
-    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; parts::COUNT] }, &stop));
+    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; partitions::COUNT] }, &stop));
     longest_poll(&mut serve, Duration::from_millis(100));
     let steps = vec![Step { count: 1, ..Step::default() }];
     let spec = JobSpec { steps, ..JobSpec::default() };
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -8,14 +8,14 @@
 
 use assert_matches::assert_matches;
 use common::control::{step, Cell};
+use currantgw::control::election;
 use currantgw::control::engine::{Engine, Now};
-use currantgw::control::evict::{self, Spot, Victim};
-use currantgw::control::links::lines;
+use currantgw::control::links::advice_queues;
 use currantgw::control::model::{BadId, Invalid, JobId, JobState, Step, TaskId};
-use currantgw::control::office;
-use currantgw::control::parts::Scope;
-use currantgw::control::place::{self, Ask, Place, Placement};
-use currantgw::control::queue::{self, Claim};
+use currantgw::control::partitions::PartitionScope;
+use currantgw::control::place::{self, Candidate, Placement, PlacementRequest};
+use currantgw::control::preemption::{self, RunnerCapacity, Victim};
+use currantgw::control::queue::{self, RankInput};
 use currantgw::control::rows::{self, JobKey, ProgressRow, StepRow, TaskRow};
 use currantgw::control::settings::NodeSettings;
 use currantgw::kernel::res::Resources;
@@ -27,8 +27,8 @@
  "links": "127.0.0.1:3", "metrics": "127.0.0.1:4", "store": "127.0.0.1:5",
  "advice": "127.0.0.1:6", "hold_max_ms": 10000, "grace_ms": 6000, "keep_ms": 120000}"#;
 
-fn claim(priority: u32, begin: u64, objective: u64, chain: u64) -> Claim {
-    Claim { priority, begin, objective, chain, lead: 0 }
+fn rank_input(priority: u32, begin: u64, objective: u64, chain: u64) -> RankInput {
+    RankInput { priority, begin, objective, chain, capacity_wait: 0 }
 }
 
 /// A job that has been late for long ranks before a fresh one that has time; one that has just
@@ -36,32 +36,40 @@
 #[test]
 fn late_jobs_are_not_starved() {
     let now = 20_000;
-    let recent = queue::rank(&claim(2, 19_900, 6_000, 3_000), now);
-    let long_late = queue::rank(&claim(2, 6_500, 6_000, 3_000), now);
-    let just_late = queue::rank(&claim(2, 16_000, 6_000, 3_000), now);
+    let recent = queue::rank(&rank_input(2, 19_900, 6_000, 3_000), now);
+    let long_late = queue::rank(&rank_input(2, 6_500, 6_000, 3_000), now);
+    let just_late = queue::rank(&rank_input(2, 16_000, 6_000, 3_000), now);
     assert!(long_late < recent && recent < just_late);
 }
 
 #[test]
-fn urgent_first_then_by_the_next_deadline_then_worthless() {
+fn urgent_first_then_by_the_next_deadline_then_no_value() {
     let now = 10_000;
-    let urgent = queue::rank(&claim(0, 9_900, 1_200, 600), now);
-    let tight = queue::rank(&claim(1, 9_000, 5_000, 3_000), now);
-    let loose = queue::rank(&claim(2, 8_000, 20_000, 3_000), now);
-    let late = queue::rank(&claim(1, 5_000, 6_000, 3_000), now);
-    let lost = queue::rank(&claim(0, 1_000, 1_200, 600), now);
+    let urgent = queue::rank(&rank_input(0, 9_900, 1_200, 600), now);
+    let tight = queue::rank(&rank_input(1, 9_000, 5_000, 3_000), now);
+    let loose = queue::rank(&rank_input(2, 8_000, 20_000, 3_000), now);
+    let late = queue::rank(&rank_input(1, 5_000, 6_000, 3_000), now);
+    let lost = queue::rank(&rank_input(0, 1_000, 1_200, 600), now);
     let mut order = [lost, late, loose, tight, urgent];
     order.sort();
     assert_eq!(order, [urgent, tight, late, loose, lost]);
 }
 
-fn candidate(key: u32, cpu: u64, rack: u32) -> Place<u32> {
+fn candidate(key: u32, cpu: u64, rack: u32) -> Candidate<u32> {
     let free = Resources { cpu, mem: 64_000, acc: 0 };
-    Place { key, free, rack, limit: u32::MAX, proven: false, suspects: 0, risky: false }
+    Candidate {
+        key,
+        free,
+        rack,
+        limit: u32::MAX,
+        proven: false,
+        suspects: 0,
+        repeat_suspect: false,
+    }
 }
 
-fn ask(cpu: u64) -> Ask {
-    Ask {
+fn request(cpu: u64) -> PlacementRequest {
+    PlacementRequest {
         need: Resources { cpu, mem: 100, acc: 0 },
         rack: None,
         one_rack: false,
@@ -74,46 +82,50 @@
 /// Small tasks go where little capacity is left, so that whole runners stay free for gangs.
 #[test]
 fn small_tasks_fill_gaps_first() {
-    let mut places = vec![candidate(0, 16_000, 0), candidate(1, 1_200, 0), candidate(2, 5_000, 0)];
+    let mut candidates =
+        vec![candidate(0, 16_000, 0), candidate(1, 1_200, 0), candidate(2, 5_000, 0)];
     let none = BTreeSet::new();
-    assert_eq!(place::one(&mut places, &ask(1_000), &none, false), Some(1));
-    assert_eq!(place::one(&mut places, &ask(1_000), &none, false), Some(2));
-    let gang = place::all(&mut places, &ask(4_500), 3, &none);
+    assert_eq!(place::place_one(&mut candidates, &request(1_000), &none, false), Some(1));
+    assert_eq!(place::place_one(&mut candidates, &request(1_000), &none, false), Some(2));
+    let gang = place::place_all(&mut candidates, &request(4_500), 3, &none);
     assert_eq!(gang, Some(vec![0, 0, 0]));
 }
 
 #[test]
 fn a_failed_task_goes_to_a_proven_runner_and_not_back() {
-    let mut places = vec![candidate(0, 1_000, 0), candidate(1, 2_000, 0), candidate(2, 9_000, 0)];
-    places[2].proven = true;
+    let mut candidates =
+        vec![candidate(0, 1_000, 0), candidate(1, 2_000, 0), candidate(2, 9_000, 0)];
+    candidates[2].proven = true;
     let avoid = BTreeSet::from([0]);
-    assert_eq!(place::one(&mut places, &ask(500), &avoid, true), Some(2));
+    assert_eq!(place::place_one(&mut candidates, &request(500), &avoid, true), Some(2));
 }
 
 #[test]
 fn all_or_nothing_and_one_rack_where_it_fits() {
     let none = BTreeSet::new();
-    let mut places = vec![candidate(0, 9_000, 1), candidate(1, 4_000, 2), candidate(2, 5_000, 2)];
-    assert_eq!(place::all(&mut places.clone(), &ask(4_500), 5, &none), None);
-    let together = Ask { one_rack: true, ..ask(4_000) };
-    let placed = place::all(&mut places, &together, 2, &none).unwrap();
+    let mut candidates =
+        vec![candidate(0, 9_000, 1), candidate(1, 4_000, 2), candidate(2, 5_000, 2)];
+    assert_eq!(place::place_all(&mut candidates.clone(), &request(4_500), 5, &none), None);
+    let together = PlacementRequest { one_rack: true, ..request(4_000) };
+    let placed = place::place_all(&mut candidates, &together, 2, &none).unwrap();
     assert!(placed == vec![1, 2] || placed == vec![2, 1] || placed == vec![0, 0], "{placed:?}");
     assert!(!placed.contains(&0) || placed.iter().all(|k| *k == 0));
 }
 
 #[test]
 fn per_runner_limits_hold() {
-    let mut places = vec![candidate(0, 16_000, 0), candidate(1, 16_000, 0)];
-    places.iter_mut().for_each(|p| p.limit = 2);
+    let mut candidates = vec![candidate(0, 16_000, 0), candidate(1, 16_000, 0)];
+    candidates.iter_mut().for_each(|p| p.limit = 2);
     let none = BTreeSet::new();
-    let all: Vec<_> = (0..5).map(|_| place::one(&mut places, &ask(10), &none, false)).collect();
+    let all: Vec<_> =
+        (0..5).map(|_| place::place_one(&mut candidates, &request(10), &none, false)).collect();
     assert_eq!(all.iter().flatten().count(), 4);
 }
 
 /// Urgent jobs that arrive in a burst on a cell full of non-urgent work start at once, on the
 /// capacity that is kept free for urgent queues.
 #[test]
-fn lookups_start_at_once_on_a_cell_full_of_patient_work() {
+fn lookups_start_at_once_on_a_cell_full_of_non_urgent_work() {
     let mut cell = Cell::new(20, 21);
     for n in 0..40 {
         cell.submit(n + 1, "patient", vec![step(20, 1_000, 8_000)]);
@@ -159,8 +171,8 @@
 #[test]
 fn refused_advice_requests_back_off() {
     let mut cell = Cell::new(40, 31);
-    cell.lines = vec![0.0; 2];
-    cell.depth = 4.0;
+    cell.connections = vec![0.0; 2];
+    cell.queue_limit = 4.0;
     for n in 0..300 {
         cell.submit(n + 1, "asked", vec![step(1, 1_000, 500)]);
     }
@@ -207,25 +219,25 @@
     cell.check();
 }
 
-fn occupied(key: u32, free: u64, victims: &[u64]) -> Spot<u32, u32> {
-    let room = |cpu: u64| Resources { cpu, mem: 1_000, acc: 0 };
-    let victim = |(i, cpu): (usize, &u64)| Victim { id: key * 10 + i as u32, need: room(*cpu) };
+fn occupied(key: u32, free: u64, victims: &[u64]) -> RunnerCapacity<u32, u32> {
+    let capacity = |cpu: u64| Resources { cpu, mem: 1_000, acc: 0 };
+    let victim = |(i, cpu): (usize, &u64)| Victim { id: key * 10 + i as u32, need: capacity(*cpu) };
     let victims = victims.iter().enumerate().map(victim).collect();
-    Spot { key, free: room(free), limit: u32::MAX, victims }
+    RunnerCapacity { key, free: capacity(free), limit: u32::MAX, victims }
 }
 
 #[test]
 fn preemption_for_a_gang_stops_as_little_as_possible() {
     let need = Resources { cpu: 9, mem: 0, acc: 0 };
-    let spots = vec![occupied(1, 4, &[2, 5, 6]), occupied(2, 10, &[8]), occupied(3, 0, &[3, 3])];
-    let plan = evict::plan(spots.clone(), &need, 2).unwrap();
+    let runners = vec![occupied(1, 4, &[2, 5, 6]), occupied(2, 10, &[8]), occupied(3, 0, &[3, 3])];
+    let plan = preemption::plan(runners.clone(), &need, 2).unwrap();
     assert_eq!(plan.keys, vec![2, 1]);
     // 5 is the smallest victim that is enough together with the 4 that are free.
     assert_eq!(plan.stops, vec![(1, 11)]);
     // A third member fits once 8 is stopped in addition to the 1 that is left.
-    let plan = evict::plan(spots.clone(), &need, 3).unwrap();
+    let plan = preemption::plan(runners.clone(), &need, 3).unwrap();
     assert_eq!(plan.stops, vec![(1, 11), (2, 20)]);
-    assert_eq!(evict::plan(spots, &need, 4), None);
+    assert_eq!(preemption::plan(runners, &need, 4), None);
 }
 
 /// Guards against a gang that requests advice some twenty times and starts after up to a minute:
@@ -240,14 +252,14 @@
     cell.run(600);
     let gang = Step { gang: true, ..step(4, 7_000, 500) };
     let job = cell.submit(500, "asked", vec![gang]);
-    let before = cell.asked.len();
+    let before = cell.requests.len();
     for n in 0..30 {
         cell.submit(1_000 + n, "patient", vec![step(3, 4_000, 900)]);
         cell.run(120);
     }
     cell.run(4_000);
     assert_eq!(cell.stored(job), JobState::Completed);
-    assert!(cell.asked.len() - before <= 3, "{:?}", &cell.asked[before..]);
+    assert!(cell.requests.len() - before <= 3, "{:?}", &cell.requests[before..]);
     cell.check();
 }
 
@@ -259,7 +271,7 @@
         cell.submit(n + 1, "asked", vec![step(2, 1_000, 200)]);
         cell.run(100);
     }
-    let last = &cell.asked[cell.asked.len() - 10..];
+    let last = &cell.requests[cell.requests.len() - 10..];
     assert!(last.iter().all(|n| *n <= 6), "{last:?}");
 }
 
@@ -278,10 +290,10 @@
     let urgent = cell.submit(u64::MAX, "urgent", vec![step(1, 1_000, 100)]);
     cell.engine.plan(now);
     let mut missing: BTreeSet<JobId> = (1..=90).map(JobId).collect();
-    let batch = cell.engine.take_batch(Scope::All, 48, now);
+    let batch = cell.engine.take_batch(PartitionScope::All, 48, now);
     assert_eq!(batch.writes.len(), 48);
     assert!(batch.writes.iter().any(|w| w.job == urgent));
-    let rest = cell.engine.take_batch(Scope::All, 48, now);
+    let rest = cell.engine.take_batch(PartitionScope::All, 48, now);
     for w in batch.writes.iter().chain(&rest.writes) {
         missing.remove(&w.job);
     }
@@ -373,9 +385,9 @@
     assert_eq!(rows::decode::<ProgressRow>(&rows::encode(&row)).unwrap(), row);
     assert!(rows::decode::<ProgressRow>(b"junk").is_err());
     let id = JobId(0xa1);
-    assert_eq!(rows::job_of(&rows::job_key(id).key), Some(JobKey::Job(id)));
-    assert_eq!(rows::job_of(&rows::cancel_key(id).key), Some(JobKey::Cancel(id)));
-    assert_eq!(rows::job_of("something"), None);
+    assert_eq!(rows::parse_job_key(&rows::job_key(id).key), Some(JobKey::Job(id)));
+    assert_eq!(rows::parse_job_key(&rows::cancel_key(id).key), Some(JobKey::Cancel(id)));
+    assert_eq!(rows::parse_job_key("something"), None);
 }
 
 #[test]
@@ -425,15 +437,15 @@
 fn small_candidates_wait_for_larger_ones() {
     let (small, large, whole) = (120, 500, 1_000);
     let start_apart = 300;
-    let at_start = |size| office::small_wait(size, whole);
+    let at_start = |size| election::size_delay_ms(size, whole);
     assert!(at_start(small) >= at_start(large) + start_apart);
-    assert!(office::small_wait(small, large) >= start_apart);
+    assert!(election::size_delay_ms(small, large) >= start_apart);
     // Between equal sizes, and for a candidate larger than the last leader, a takeover is not
     // delayed.
-    assert_eq!(office::small_wait(250, 250), 0);
-    assert_eq!(office::small_wait(large, small), 0);
+    assert_eq!(election::size_delay_ms(250, 250), 0);
+    assert_eq!(election::size_delay_ms(large, small), 0);
     // A row written before sizes were stored causes no delay.
-    assert_eq!(office::small_wait(small, 0), 0);
+    assert_eq!(election::size_delay_ms(small, 0), 0);
 }
 
 #[test]
@@ -508,7 +520,7 @@
         "sequence":4}"#;
     let e = runners::entry(body).unwrap();
     assert!(e.draining && e.labels.contains("a"));
-    assert_eq!((e.rack.as_str(), e.room.mem), ("r1-3", 32_768));
+    assert_eq!((e.rack.as_str(), e.capacity.mem), ("r1-3", 32_768));
     assert!(runners::entry(b"{}").is_err());
 }
 
@@ -517,10 +529,10 @@
 /// bursts, each with a request of 11 ms.
 #[test]
 fn connections_for_short_requests_grow_with_the_cell() {
-    assert_eq!([1, 3, 4, 7, 9].map(lines::short_lines), [1, 1, 2, 2, 2]);
+    assert_eq!([1, 3, 4, 7, 9].map(advice_queues::short_queues), [1, 1, 2, 2, 2]);
     let busy = 220.0 * 0.011;
-    assert!(lines::short_lines(29) as f64 >= 2.0 * busy);
-    assert!(lines::short_lines(45) <= 45 / 3);
+    assert!(advice_queues::short_queues(29) as f64 >= 2.0 * busy);
+    assert!(advice_queues::short_queues(45) <= 45 / 3);
 }
 
 /// Guards against suspects that share a runner, and against harmless tasks beside a suspect that
@@ -528,11 +540,12 @@
 #[test]
 fn suspects_are_kept_apart() {
     let none = BTreeSet::new();
-    let mut places = vec![candidate(1, 2_000, 0), candidate(2, 4_000, 0), candidate(3, 6_000, 0)];
-    places[0].suspects = 1;
-    let suspect = Ask { suspect: true, ..ask(1_000) };
-    assert_eq!(place::one(&mut places, &suspect, &none, false), Some(2));
-    assert_eq!(place::one(&mut places, &suspect, &none, false), Some(3));
-    places[0].risky = true;
-    assert_eq!(place::one(&mut places, &ask(1_000), &none, false), Some(2));
+    let mut candidates =
+        vec![candidate(1, 2_000, 0), candidate(2, 4_000, 0), candidate(3, 6_000, 0)];
+    candidates[0].suspects = 1;
+    let suspect = PlacementRequest { suspect: true, ..request(1_000) };
+    assert_eq!(place::place_one(&mut candidates, &suspect, &none, false), Some(2));
+    assert_eq!(place::place_one(&mut candidates, &suspect, &none, false), Some(3));
+    candidates[0].repeat_suspect = true;
+    assert_eq!(place::place_one(&mut candidates, &request(1_000), &none, false), Some(2));
 }
