--- a/src/control/engine/preempt.rs
+++ b/src/control/engine/preempt.rs
@@ -1,13 +1,13 @@
 //! Preemption: which tasks may be stopped for a gang, and when.
 
+use super::gang_reservations::GangReservations;
 use super::plan::StepView;
 use super::progress::Progress;
-use super::reserve::GangReservations;
 use super::runs::{Stage, StopReason};
 use super::{Engine, Now, RunnerKey};
-use crate::control::evict::{self, Spot, Victim};
 use crate::control::model::TaskId;
-use crate::control::place::Place;
+use crate::control::place::Candidate;
+use crate::control::preemption::{self, RunnerCapacity, Victim};
 use crate::control::queue::Rank;
 
 /// Interval between two preemption attempts for a gang, ms: the state of its runners changes with
@@ -33,7 +33,7 @@
         &mut self,
         v: &StepView<'_>,
         rank: Rank,
-        candidates: &[Place<RunnerKey>],
+        candidates: &[Candidate<RunnerKey>],
         reserved: &GangReservations,
         now: Now,
     ) -> bool {
@@ -41,8 +41,8 @@
         let count = s.tasks.len();
         let need = v.step.demand();
         let demand = need.cpu * count as u64;
-        if !rank.patient
-            || rank.worthless
+        if !rank.non_urgent
+            || rank.no_value
             || reserved.without(demand).exceeds(MAX_BACKLOG_PERCENT)
             || s.preempt_tried + PREEMPT_INTERVAL_MS > now.mono
         {
@@ -53,15 +53,15 @@
             return false;
         }
         let free = candidates.iter().filter(|p| !reserved.contains(p.key));
-        let spots: Vec<Spot<RunnerKey, TaskId>> = free
-            .map(|p| Spot {
+        let runners: Vec<RunnerCapacity<RunnerKey, TaskId>> = free
+            .map(|p| RunnerCapacity {
                 key: p.key,
                 free: p.free,
                 limit: p.limit,
                 victims: self.victims(p.key, now),
             })
             .collect();
-        let Some(plan) = evict::plan(spots, &need, count) else { return false };
+        let Some(plan) = preemption::plan(runners, &need, count) else { return false };
         log::info!(step:% = v.id, members = count, stopped = plan.stops.len(), late = rank.late;
             "tasks stopped to make room for a gang");
         self.reserve_provisionally(v.id, plan.keys, need, now);
--- a/src/control/engine/round.rs
+++ b/src/control/engine/round.rs
@@ -8,7 +8,7 @@
 //! needed, and urgent steps that were opened or received advice meanwhile are planned before the
 //! rest of it. No step starves, since each pass covers all.
 
-use super::reserve::GangReservations;
+use super::gang_reservations::GangReservations;
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::StepId;
 use crate::control::queue::Rank;
@@ -91,7 +91,7 @@
             let serves = r.entry.as_ref().is_some_and(|e| e.service == service);
             if serves && r.usable(now) {
                 capacity.free += r.free().cpu;
-                capacity.total += r.room().cpu;
+                capacity.total += r.capacity().cpu;
                 capacity.by_cpu.push((r.free().cpu, k));
             }
         }
--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -110,16 +110,16 @@
         // catalogue is read once before the job is refused.
         cat = e.refresh_catalogue().await;
     }
-    let rooms = e.rooms.lock().unwrap().clone();
-    let accept = jobs::Accept {
+    let rack_capacities = e.rack_capacities.lock().unwrap().clone();
+    let context = jobs::SubmitContext {
         table: &e.platform,
         clock: &e.clock,
         cat: &cat,
         inventory: &inventory,
-        rooms: &rooms,
+        rack_capacities: &rack_capacities,
         domain: &e.addr.domain,
     };
-    match jobs::submit(&accept, spec).await {
+    match jobs::submit(&context, spec).await {
         Ok(row) if matches!(row.state, JobState::Refused { .. }) => not_run(row),
         Ok(row) => admin::json(200, &row),
         Err(err @ SubmitError::Invalid { .. }) => fail(400, "invalid", err, None),
@@ -200,16 +200,16 @@
 
 async fn lookup(req: Request<State>) -> tide::Result {
     #[derive(Deserialize)]
-    struct Q {
+    struct Query {
         key: String,
     }
-    let q: Q = match req.query() {
-        Ok(q) => q,
+    let query: Query = match req.query() {
+        Ok(query) => query,
         Err(e) => return Ok(fail(400, "bad_request", e, None)),
     };
     let e = req.state().clone();
     let started = e.clock.now();
-    let out = e.pool.lookup(&q.key).await;
+    let out = e.pool.lookup(&query.key).await;
     metrics::histogram!("entry_lookup_seconds").record((e.clock.now() - started) as f64 / 1000.0);
     Ok(match out {
         Ok(a) => admin::json(200, &a),
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -13,7 +13,7 @@
 use crate::standin::{lease_key, place_key, LEASE_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At most one worker in this many of a shard is avoided at a time, so that a wave of jobs that
+/// At most one worker in this many of a shard is avoided at a time, so that a burst of jobs that
 /// fail everywhere does not leave the shard without workers.
 const AVOID_AT_MOST_ONE_IN: usize = 4;
 
@@ -21,13 +21,13 @@
 const REREAD_ROUNDS: u64 = 5;
 
 /// Result of a commit.
-pub(super) enum Verdict {
+pub(super) enum CommitResult {
     /// The plan was committed, or there was nothing to commit.
     Done,
     /// A row had changed; the caller must read it again and make a new plan.
-    Again,
+    Conflict,
     /// The lease of this shard was lost.
-    Lost(String),
+    LeaseLost(String),
 }
 
 impl Sched {
@@ -36,10 +36,10 @@
         &mut self,
         cx: &Ctx<'_>,
         plan: Plan,
-    ) -> Result<Verdict, PlatformError> {
-        if !plan.writes() {
+    ) -> Result<CommitResult, PlatformError> {
+        if !plan.has_writes() {
             self.apply_committed(cx, plan, &BTreeMap::new());
-            return Ok(Verdict::Done);
+            return Ok(CommitResult::Done);
         }
         self.seq += 1;
         let txn = self.transaction(cx, &plan);
@@ -48,7 +48,7 @@
                 self.counts.commits += 1;
                 metrics::counter!("entry_tasks_placed").increment(plan.counts.placed);
                 self.apply_committed(cx, plan, &versions);
-                Ok(Verdict::Done)
+                Ok(CommitResult::Done)
             }
             Ok(Outcome::Conflict { key, .. }) => {
                 self.counts.conflicts += 1;
@@ -91,7 +91,7 @@
             Some(p) => Op::Put { key: place_key(shard, task), value: p.value() },
             None => Op::Delete { key: place_key(shard, task) },
         }));
-        ops.extend(plan.marks.iter().map(|((shard, id), set)| {
+        ops.extend(plan.pending.iter().map(|((shard, id), set)| {
             let key = rows::pending_key(cx.domain, shard, id);
             match set {
                 true => rows::put_marker(key),
@@ -107,9 +107,9 @@
     }
 
     /// Drops the cached row that a conflict at `key` showed to be stale.
-    fn drop_stale(&mut self, cx: &Ctx<'_>, key: &str) -> Verdict {
+    fn drop_stale(&mut self, cx: &Ctx<'_>, key: &str) -> CommitResult {
         if let Some(shard) = key.strip_prefix(LEASE_PREFIX) {
-            return Verdict::Lost(shard.to_string());
+            return CommitResult::LeaseLost(shard.to_string());
         }
         if let Some(id) = key.strip_prefix(rows::JOB_PREFIX) {
             self.jobs.remove(id);
@@ -117,14 +117,14 @@
         if let Some(team) = key.strip_prefix(&rows::quota_prefix(cx.domain)) {
             self.quotas.remove(team);
         }
-        Verdict::Again
+        CommitResult::Conflict
     }
 
     /// Applies a committed plan to the caches and queues its orders.
     fn apply_committed(&mut self, cx: &Ctx<'_>, plan: Plan, versions: &BTreeMap<String, u64>) {
         let version = |key: String, old: u64| versions.get(&key).copied().unwrap_or(old + 1);
-        for (k, row) in plan.commits {
-            self.workers.get_mut(k).commit = row;
+        for (k, commitments) in plan.commitments {
+            self.workers.get_mut(k).commitments = commitments;
         }
         for (id, row) in plan.jobs {
             let old = self.jobs.get(&id).map_or(0, |c| c.version);
@@ -136,8 +136,8 @@
             let version = version(rows::quota_key(cx.domain, &team), old);
             self.quotas.insert(team, Cached { version, row });
         }
-        for ((shard, id), set) in plan.marks {
-            let m = self.marks.entry(shard).or_default();
+        for ((shard, id), set) in plan.pending {
+            let m = self.pending.entry(shard).or_default();
             if set {
                 m.entry(id).or_insert(plan.now);
             } else {
@@ -189,7 +189,7 @@
         match cause {
             FailureCause::NotFailed => {
                 let w = self.workers.get_mut(k);
-                (w.blame, w.avoid) = (BTreeSet::new(), 0);
+                (w.failures, w.avoid_until) = (BTreeSet::new(), 0);
             }
             FailureCause::Worker => self.record_failure(k, task, now),
             FailureCause::Job => {
@@ -205,12 +205,13 @@
     fn record_failure(&mut self, k: WorkerKey, task: &str, now: u64) {
         let shard = shard_of(&self.workers.get(k).info);
         let shard_workers = self.shards.get(&shard).map_or(&[][..], |s| &s.workers);
-        let avoided = shard_workers.iter().filter(|&&p| self.workers.get(p).avoid > now).count();
+        let avoided =
+            shard_workers.iter().filter(|&&p| self.workers.get(p).avoid_until > now).count();
         let allowed = avoided < shard_workers.len().div_ceil(AVOID_AT_MOST_ONE_IN);
         let w = self.workers.get_mut(k);
-        w.blame.insert(task.to_string());
-        if w.blame.len() >= AVOID_AFTER && allowed && w.avoid <= now {
-            w.avoid = now + AVOID_MS;
+        w.failures.insert(task.to_string());
+        if w.failures.len() >= AVOID_AFTER && allowed && w.avoid_until <= now {
+            w.avoid_until = now + AVOID_MS;
             log::warn!("worker {} avoided for {AVOID_MS} ms", w.info.name);
             metrics::counter!("entry_workers_avoided").increment(1);
         }
@@ -219,9 +220,9 @@
     /// Removes the tasks of a job, given by their common prefix, from the failures of all workers.
     fn clear_failures(&mut self, prefix: &str) {
         for (_, w) in self.workers.iter_mut() {
-            w.blame.retain(|t| !t.starts_with(prefix));
-            if w.blame.len() < AVOID_AFTER {
-                w.avoid = 0;
+            w.failures.retain(|t| !t.starts_with(prefix));
+            if w.failures.len() < AVOID_AFTER {
+                w.avoid_until = 0;
             }
         }
     }
--- a/src/entry/sched/sweep.rs
+++ b/src/entry/sched/gc.rs
@@ -17,7 +17,7 @@
 const MAX_IDS_PER_PASS: usize = 400;
 
 /// Inputs of a garbage collection pass.
-pub struct Sweep<'a> {
+pub struct Pass<'a> {
     /// Client of the platform.
     pub platform: &'a Client,
     /// Id of this instance.
@@ -28,7 +28,7 @@
     pub before: Millis,
 }
 
-impl Sweep<'_> {
+impl Pass<'_> {
     /// Returns the keys under `prefix` whose time is before the limit, oldest first, as (key, id).
     async fn expired(&self, prefix: &str) -> Result<Vec<(String, String)>, PlatformError> {
         let rows = self.platform.scan(prefix).await?;
@@ -76,8 +76,9 @@
             serde_json::json!({ "shard": shard, "jobs": jobs.values().collect::<Vec<_>>() });
         let name = format!("report-{shard}-{:015}", self.before);
         self.platform.put_object(&name, report.to_string()).await?;
-        let gone = expired.into_iter().map(|(key, _)| key).chain(jobs.into_keys()).collect();
-        self.remove(shard, epoch, gone).await
+        let expired_keys =
+            expired.into_iter().map(|(key, _)| key).chain(jobs.into_keys()).collect();
+        self.remove(shard, epoch, expired_keys).await
     }
 
     /// Removes the old write records of the domain under the lease of `shard`, and returns the
@@ -87,7 +88,8 @@
         if expired.is_empty() {
             return Ok(0);
         }
-        let gone = expired.into_iter().flat_map(|(key, id)| [key, rows::write_key(&id)]).collect();
-        self.remove(shard, epoch, gone).await
+        let expired_keys =
+            expired.into_iter().flat_map(|(key, id)| [key, rows::write_key(&id)]).collect();
+        self.remove(shard, epoch, expired_keys).await
     }
 }
--- a/src/entry/sched/plan.rs
+++ b/src/entry/sched/plan.rs
@@ -2,7 +2,7 @@
 //! cached rows and the workers' reports. The state of the scheduler does not change until the plan
 //! is committed, so a plan that meets a conflict is dropped.
 
-use super::{Commit, Counts, Ctx, Sched};
+use super::{Commitments, Counts, Ctx, Sched};
 use crate::entry::rows::{JobRow, JobState, QuotaRow, TaskState};
 use crate::kernel::arena::WorkerKey;
 use crate::kernel::clock::Millis;
@@ -35,7 +35,7 @@
     /// Shards that the plan changes, with the epoch that fences the commit.
     pub leases: BTreeMap<String, u64>,
     /// New commitments of the workers that the plan changes.
-    pub commits: BTreeMap<WorkerKey, Commit>,
+    pub commitments: BTreeMap<WorkerKey, Commitments>,
     /// New job rows, by job id.
     pub jobs: BTreeMap<String, JobRow>,
     /// New quota rows, by team.
@@ -43,7 +43,7 @@
     /// Placement rows by (shard, task): written if some, deleted if none.
     pub places: BTreeMap<(String, String), Option<PlaceRow>>,
     /// Pending-job entries to set (true) or remove (false), by (shard, job).
-    pub marks: BTreeMap<(String, String), bool>,
+    pub pending: BTreeMap<(String, String), bool>,
     /// Jobs that ended in this round, by (shard, job).
     pub done: BTreeSet<(String, String)>,
     /// Starts to send after the commit, with their shard.
@@ -66,11 +66,11 @@
 
 impl Plan {
     /// Returns whether the plan has rows to write.
-    pub fn writes(&self) -> bool {
+    pub fn has_writes(&self) -> bool {
         !self.places.is_empty()
             || !self.jobs.is_empty()
             || !self.quotas.is_empty()
-            || !self.marks.is_empty()
+            || !self.pending.is_empty()
     }
 }
 
@@ -85,12 +85,12 @@
 }
 
 impl Sched {
-    /// Plans a round over the shards in `live`.
-    pub(super) fn plan(&self, cx: &Ctx<'_>, live: &BTreeMap<String, u64>) -> Plan {
+    /// Plans a round over the shards in `plannable`.
+    pub(super) fn plan(&self, cx: &Ctx<'_>, plannable: &BTreeMap<String, u64>) -> Plan {
         let now = cx.clock.now();
         let plan = Plan { now, ..Plan::default() };
         let mut d = Draft { s: self, cx, plan, used: RefCell::default() };
-        for (name, &epoch) in live {
+        for (name, &epoch) in plannable {
             let Some(shard) = self.shards.get(name) else { continue };
             if shard.loaded != Some(epoch) {
                 continue;
@@ -106,7 +106,7 @@
             }
         }
         if self.counts.rounds.is_multiple_of(GRANT_RELEASE_ROUNDS) {
-            d.release_grants(live);
+            d.release_grants(plannable);
         }
         d.plan
     }
@@ -128,21 +128,21 @@
     }
 
     /// Returns the commitments of a worker, with the changes of the plan.
-    pub fn commit(&self, k: WorkerKey) -> &Commit {
-        self.plan.commits.get(&k).unwrap_or(&self.s.workers.get(k).commit)
+    pub fn commitments(&self, k: WorkerKey) -> &Commitments {
+        self.plan.commitments.get(&k).unwrap_or(&self.s.workers.get(k).commitments)
     }
 
     /// Returns the commitments of a worker for changes within the plan.
-    pub fn commit_mut(&mut self, k: WorkerKey) -> &mut Commit {
+    pub fn commitments_mut(&mut self, k: WorkerKey) -> &mut Commitments {
         self.used.get_mut().clear();
         let s = self.s;
-        self.plan.commits.entry(k).or_insert_with(|| s.workers.get(k).commit.clone())
+        self.plan.commitments.entry(k).or_insert_with(|| s.workers.get(k).commitments.clone())
     }
 
     /// Releases the commitment and the placement row of a task on worker `k`.
     pub fn release(&mut self, shard: &str, epoch: u64, k: WorkerKey, task: &str) {
-        if self.commit(k).tasks.contains_key(task) {
-            self.commit_mut(k).remove(task);
+        if self.commitments(k).tasks.contains_key(task) {
+            self.commitments_mut(k).remove(task);
             self.plan.places.insert((shard.to_string(), task.to_string()), None);
             self.plan.leases.insert(shard.to_string(), epoch);
         }
@@ -155,11 +155,11 @@
         let Some(row) = self.job(id) else { return };
         let (waits, ended) = (row.waiting() && !row.ended(), row.ended());
         let key = (name.to_string(), id.to_string());
-        let marked = self.s.marks.get(name).is_some_and(|m| m.contains_key(id));
-        match (marked, waits) {
-            (false, true) => drop(self.plan.marks.insert(key.clone(), true)),
-            (true, false) => drop(self.plan.marks.insert(key.clone(), false)),
-            _ => drop(self.plan.marks.remove(&key)),
+        let listed = self.s.pending.get(name).is_some_and(|m| m.contains_key(id));
+        match (listed, waits) {
+            (false, true) => drop(self.plan.pending.insert(key.clone(), true)),
+            (true, false) => drop(self.plan.pending.insert(key.clone(), false)),
+            _ => drop(self.plan.pending.remove(&key)),
         }
         let ended_before = self.s.jobs.get(id).is_some_and(|c| c.row.ended());
         if ended && !ended_before {
@@ -181,7 +181,7 @@
             demand: row.spec.demand,
             run_ms: row.spec.run_ms,
             saved: t.saved,
-            by: 0,
+            valid_until: 0,
             hold_ms,
         };
         let (worker, attempt, demand) = (worker.to_string(), t.attempt, row.spec.demand);
@@ -190,15 +190,15 @@
         self.plan.starts.push((name.to_string(), req));
     }
 
-    /// Moves a job from shard `from` to shard `to`; see [`super::spill`].
+    /// Moves a job from shard `from` to shard `to`; see [`super::migrate`].
     pub fn move_job(&mut self, from: &str, epoch: u64, id: &str, to: &str) {
         let Some(row) = self.job_mut(id) else { return };
         row.shard = to.to_string();
         row.moves += 1;
         self.plan.leases.insert(from.to_string(), epoch);
-        self.plan.marks.insert((from.to_string(), id.to_string()), false);
-        self.plan.marks.insert((to.to_string(), id.to_string()), true);
-        self.plan.counts.spilled += 1;
+        self.plan.pending.insert((from.to_string(), id.to_string()), false);
+        self.plan.pending.insert((to.to_string(), id.to_string()), true);
+        self.plan.counts.migrated += 1;
     }
 }
 
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -20,7 +20,7 @@
     pub runners: Vec<RunnerAddr>,
     /// Limits and service time of every runner.
     #[serde(default)]
-    pub runner: RunnerKnobs,
+    pub runner: RunnerSettings,
 }
 
 /// Settings of the platform stand-in.
@@ -126,7 +126,7 @@
     }
 }
 
-/// Settings of an entry instance.
+/// Id, failure domain and address of an entry instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryAddr {
@@ -138,7 +138,7 @@
     pub listen: SocketAddr,
 }
 
-/// Settings of a runner stand-in.
+/// Id, failure domain and addresses of a runner stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RunnerAddr {
@@ -155,7 +155,7 @@
 /// Limits and service time of every runner.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RunnerKnobs {
+pub struct RunnerSettings {
     /// Maximum number of requests served at the same time.
     pub slots: u32,
     /// Maximum number of open connections.
@@ -164,7 +164,7 @@
     pub service_ms: u64,
 }
 
-impl Default for RunnerKnobs {
+impl Default for RunnerSettings {
     fn default() -> Self {
         Self { slots: 8, connections: 64, service_ms: 2 }
     }
--- a/tests/control_naming.rs
+++ b/tests/control_naming.rs
@@ -10,7 +10,7 @@
 use currantgw::kernel::res::Resources;
 
 /// Capacity of a runner.
-const ROOM: Resources = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
+const CAPACITY: Resources = Resources { cpu: 16_000, mem: 64_000, acc: 0 };
 
 /// Maximum number of runners that the service accepts in a request.
 const MAX_NAMED: usize = 100;
@@ -19,7 +19,7 @@
 const RUNNERS: usize = 400;
 
 /// Number of instances, each with one connection to the advice service.
-const LINES: usize = 20;
+const CONNECTIONS: usize = 20;
 
 /// Approval costs of a queue of non-urgent gangs: a request takes up to 1 s.
 const GANGS: Approval = Approval { base_ms: 500.0, each_ms: 5.0, valid_ms: 2_000 };
@@ -38,10 +38,10 @@
         queue("lookups", 0, 3, Some(LOOKUPS)),
         queue("urgent", 0, 3, None),
     ];
-    let mut cell = Cell::with(RULES, RUNNERS, ROOM, queues, 7);
+    let mut cell = Cell::with(RULES, RUNNERS, CAPACITY, queues, 7);
     cell.approves = three_of_ten;
-    cell.lines = vec![0.0; LINES];
-    cell.engine.lines = LINES;
+    cell.connections = vec![0.0; CONNECTIONS];
+    cell.engine.advice_connections = CONNECTIONS;
     cell.run(300);
     cell
 }
@@ -59,7 +59,7 @@
     let mut cell = cell();
     let job = cell.submit(1, "gangs", vec![gang(100)]);
     cell.run(1_300);
-    assert!(cell.began.contains_key(&job), "{} requests", cell.asked.len());
+    assert!(cell.began.contains_key(&job), "{} requests", cell.requests.len());
     cell.check();
 }
 
@@ -70,7 +70,7 @@
     let job = cell.submit(1, "gangs", vec![gang(4)]);
     cell.run(1_300);
     assert!(cell.began.contains_key(&job));
-    assert_eq!(cell.asked.len(), 1);
+    assert_eq!(cell.requests.len(), 1);
     cell.check();
 }
 
@@ -88,8 +88,8 @@
     cell.run(500);
     let job = cell.submit(1, "gangs", vec![gang(110)]);
     cell.run(10_000);
-    assert!(cell.began.contains_key(&job), "{} requests", cell.asked.len());
-    let most_named = cell.asked.iter().max().copied().unwrap_or(0);
+    assert!(cell.began.contains_key(&job), "{} requests", cell.requests.len());
+    let most_named = cell.requests.iter().max().copied().unwrap_or(0);
     assert!(most_named <= MAX_NAMED, "a request names {most_named} runners");
     cell.check();
 }
@@ -109,7 +109,7 @@
     let used_runners = cell.runners.iter().filter(|r| !r.running.is_empty()).count();
     assert!(used_runners <= 75, "200 tasks, four of which fill a runner, are on {used_runners}");
     let task = |n: u64| TaskId { step: StepId { job: JobId(n), occurrence: 0, step: 0 }, index: 0 };
-    assert!((0..200).all(|n| cell.whereabouts(task(1_000 + n)).len() == 1));
+    assert!((0..200).all(|n| cell.runners_of(task(1_000 + n)).len() == 1));
     cell.check();
 }
 
@@ -125,6 +125,6 @@
     }
     cell.run(1_500);
     assert_eq!(cell.running(), 200);
-    assert!(cell.asked.len() <= 3 * 200, "{} requests for 200 lookups", cell.asked.len());
+    assert!(cell.requests.len() <= 3 * 200, "{} requests for 200 lookups", cell.requests.len());
     cell.check();
 }
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -7,7 +7,7 @@
 use currantgw::options::{DomainSpec, PlatformSettings};
 use currantgw::standin::api::StopReq;
 use currantgw::standin::table::{Cond, Op, Outcome, Txn};
-use currantgw::standin::tasks::{How, ShardPoll, StartRefusal, StartReq};
+use currantgw::standin::tasks::{EndKind, ShardPoll, StartRefusal, StartReq};
 use currantgw::standin::{place_key, PlaceRow, Platform};
 use serde_json::json;
 
@@ -62,7 +62,7 @@
         demand: Resources { cpu: 1000, mem: 1024, acc: 0 },
         run_ms: 10_000,
         saved: 0,
-        by: 0,
+        valid_until: 0,
         hold_ms: 0,
     }
 }
@@ -118,10 +118,10 @@
     let p = platform(&clock);
     let epoch = acquire(&p, "A").unwrap();
     assert!(matches!(place(&p, "A", epoch, "a-r0-w0"), Outcome::Committed { .. }));
-    let order = StartReq { by: clock.now() + 500, ..start("a-r0-w0", epoch) };
+    let order = StartReq { valid_until: clock.now() + 500, ..start("a-r0-w0", epoch) };
     clock.advance(501);
     assert_eq!(p.start(std::slice::from_ref(&order))[0].refused, Some(StartRefusal::Late));
-    let fresh_order = StartReq { by: clock.now() + 400, ..order };
+    let fresh_order = StartReq { valid_until: clock.now() + 400, ..order };
     assert_eq!(p.start(&[fresh_order])[0].refused, None);
 }
 
@@ -143,7 +143,7 @@
     assert_eq!(p.start(&[start("a-r0-w0", e1)])[0].refused, None);
     p.stop(&[StopReq { task: "j1.0".into(), attempt: 1, worker: "a-r0-w0".into() }]);
     let reported = poll(e1, 0).ended;
-    assert_eq!((reported.len(), reported[0].attempt, reported[0].how), (1, 1, How::Stopped));
+    assert_eq!((reported.len(), reported[0].attempt, reported[0].how), (1, 1, EndKind::Stopped));
     clock.advance(1500);
     let e2 = acquire(&p, "B").unwrap();
     assert!(poll(e1, reported[0].seq).stale, "a superseded holder cannot acknowledge");
--- a/tests/platform_decoders.rs
+++ b/tests/platform_decoders.rs
@@ -6,8 +6,8 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpListener;
 use currantgw::control::model::{self, Attempt, Catalogue, EndKind, Invalid, JobSpec};
-use currantgw::control::ports::{AdviceError, Hold, Refusal, RunnerCall, Runners};
-use currantgw::http::Conns;
+use currantgw::control::ports::{AdviceError, PollRequest, Refusal, RunnerCall, Runners};
+use currantgw::http::ConnPool;
 use currantgw::kernel::clock::Clock;
 use currantgw::platform::advice::{self, BadApproval};
 use currantgw::platform::callers;
@@ -170,10 +170,10 @@
     fn bounded(cat: &Catalogue) -> bool {
         let span = |ms: f64| (0.0..=model::MAX_MS as f64).contains(&ms);
         cat.queues.iter().all(|(name, q)| {
-            let asked = q.approval.is_none_or(|a| span(a.base_ms) && span(a.each_ms));
+            let approval = q.approval.is_none_or(|a| span(a.base_ms) && span(a.each_ms));
             let times = q.latency_ms.max(q.timeout_ms) <= model::MAX_MS;
             let sound = (0.0..=1_000.0).contains(&q.slack) && q.max_fails > 0;
-            *name == q.name && !q.prefix.is_empty() && asked && times && sound
+            *name == q.name && !q.prefix.is_empty() && approval && times && sound
         })
     }
 
@@ -536,11 +536,11 @@
                 let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
                 conn.write_all((head + &body).as_bytes()).await.unwrap();
             });
-            let calls = RunnerCalls::new(Conns::new(Clock::real()));
+            let calls = RunnerCalls::new(ConnPool::new(Clock::real()));
             let to = RunnerCall { addr, id: "r".into() };
-            let hold = Hold { fence: 1, acked: 0, until: None, wait_ms: 1_000 };
+            let poll = PollRequest { fence: 1, acked: 0, until: None, wait_ms: 1_000 };
             let began = Instant::now();
-            let report = calls.hold(&to, &hold).await.unwrap();
+            let report = calls.poll(&to, &poll).await.unwrap();
             server.await;
             assert!(report.ends.is_empty());
             assert!(began.elapsed() >= Duration::from_millis(200));
@@ -589,28 +589,28 @@
             ("fence", Refusal::Fenced),
             ("old", Refusal::Superseded),
             ("late", Refusal::Expired),
-            ("room", Refusal::NoRoom),
+            ("room", Refusal::InsufficientCapacity),
             ("ticket", Refusal::Ticket),
         ];
         for (reason, refusal) in known {
             let body = json!({"clock_ms": 5, "reason": reason});
             assert_eq!(reports::order(409, &bytes(&body)), Err(refusal));
             let other = json!({"clock_ms": 5, "reason": reason.to_uppercase()});
-            assert_eq!(reports::order(409, &bytes(&other)), Err(Refusal::NoAnswer));
+            assert_eq!(reports::order(409, &bytes(&other)), Err(Refusal::NoResponse));
         }
         corrupt_each(&json!({"clock_ms": 5}), &["/clock_ms"], |_, case, body| {
-            assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer), "{case:?}");
+            assert_eq!(reports::order(200, body), Err(Refusal::NoResponse), "{case:?}");
         });
         let refused = json!({"clock_ms": 5, "reason": "room"});
         corrupt_each(&refused, &["/reason"], |_, case, body| {
-            assert_eq!(reports::order(409, body), Err(Refusal::NoAnswer), "{case:?}");
+            assert_eq!(reports::order(409, body), Err(Refusal::NoResponse), "{case:?}");
         });
         corrupt_each(&refused, &["/clock_ms"], |_, case, body| {
-            assert_eq!(reports::order(409, body), Err(Refusal::NoRoom), "{case:?}");
+            assert_eq!(reports::order(409, body), Err(Refusal::InsufficientCapacity), "{case:?}");
         });
         for body in NOISE {
-            assert_eq!(reports::order(200, body), Err(Refusal::NoAnswer));
-            assert_eq!(reports::order(409, body), Err(Refusal::NoAnswer));
+            assert_eq!(reports::order(200, body), Err(Refusal::NoResponse));
+            assert_eq!(reports::order(409, body), Err(Refusal::NoResponse));
         }
     }
 
@@ -641,7 +641,7 @@
 mod an_approval {
     use super::*;
 
-    fn asked() -> Vec<String> {
+    fn requested() -> Vec<String> {
         ["w1", "w2", "w3"].map(String::from).to_vec()
     }
 
@@ -650,11 +650,11 @@
     }
 
     fn read(body: &[u8]) -> Result<advice::Decoded, AdviceError> {
-        advice::decode(body, &asked())
+        advice::decode(body, &requested())
     }
 
     fn bounded(read: &advice::Decoded) -> bool {
-        let known = |t: &currantgw::control::ports::Ticket| asked().contains(&t.id);
+        let known = |t: &currantgw::control::ports::Ticket| requested().contains(&t.id);
         let approved = &read.advice.approved;
         approved.iter().all(|t| known(t) && !t.ticket.is_empty())
             && approved.is_sorted_by(|a, b| a.id < b.id)
