--- a/src/control/engine/advice.rs
+++ b/src/control/engine/advice.rs
@@ -27,24 +27,24 @@
 /// Maximum number of doublings of [`ADVICE_RETRY_MS`]: 3.2 s, several times the longest request.
 const ADVICE_RETRY_DOUBLINGS: u32 = 4;
 
-/// Delay of the next request for a step after `refusals` consecutive refusals, ms: between half of
-/// the wait and all of it, derived from a hash of the step, so that steps refused together are not
-/// repeated together.
+/// Delay of the next request for a step after `refusals` consecutive refusals, ms: between half and
+/// all of the doubled [`ADVICE_RETRY_MS`]. It is derived from a hash of the job id, so that
+/// requests refused together are not repeated together.
 fn backoff(step: StepId, refusals: u32) -> u64 {
     let wait = ADVICE_RETRY_MS << refusals.saturating_sub(1).min(ADVICE_RETRY_DOUBLINGS);
     let hash = xxh3::xxh3_64(&(step.job.0 ^ u64::from(refusals)).to_le_bytes());
     wait / 2 + hash % (wait / 2 + 1)
 }
 
-/// Service time of pending requests for non-urgent steps, for each connection, ms: one of a gang's
-/// requests, or a few others. More requests would only queue, all of them for longer than a
+/// Maximum service time of pending requests for non-urgent steps, for each connection, ms: one of a
+/// gang's requests, or a few others. More requests would only queue, all of them for longer than a
 /// reservation or a ticket is valid, and would have to be repeated. Steps wait in order of rank
 /// instead.
 const PENDING_MS_PER_CONNECTION: f64 = 900.0;
 
-/// Share of this time that gangs' requests may take. They are long and come first by rank: without
-/// a share of their own, other non-urgent steps would wait as long as there are gangs to request
-/// advice for.
+/// Share of [`PENDING_MS_PER_CONNECTION`] that gangs' requests may take. They are long and come
+/// first by rank: without a share of their own, other non-urgent steps would wait as long as there
+/// are gangs to request advice for.
 const GANG_SHARE: f64 = 0.75;
 
 /// Maximum number of runners that the service accepts in one request.
@@ -111,7 +111,7 @@
         self.add_cost(kind, cost);
     }
 
-    fn answered(&mut self, step: StepId) {
+    fn remove_request(&mut self, step: StepId) {
         let Some(pending) = self.by_step.get_mut(&step) else { return };
         let (kind, cost) = (pending.kind, pending.cost / f64::from(pending.count));
         pending.count -= 1;
@@ -132,8 +132,8 @@
         self.demands.insert(step, (named, each));
     }
 
-    /// Removes the record of an answered request: the runners named, and the capacity that was
-    /// recorded for each.
+    /// Removes the record of an answered request and returns the runners named, with the capacity
+    /// that was recorded for each.
     fn take_demand(&mut self, step: StepId) -> impl Iterator<Item = (RunnerKey, Resources)> {
         let (named, each) = self.demands.remove(&step).unwrap_or_default();
         named.into_iter().map(move |k| (k, each))
@@ -220,7 +220,8 @@
     /// Validity that a ticket must have left when a placement of a step is decided, ms. A placement
     /// with less would expire while it is stored, and its ticket would have to be requested again.
     pub(super) fn ticket_margin(&self, step: StepId) -> u64 {
-        TICKET_MARGIN_MS + self.storing.took(Partition::of(step.job)).min(MAX_STORING_MARGIN_MS)
+        TICKET_MARGIN_MS
+            + self.storing.commit_ms(Partition::of(step.job)).min(MAX_STORING_MARGIN_MS)
     }
 
     /// Handles the advice service's answer to a request that named `ids`.
@@ -231,7 +232,7 @@
         res: Result<Advice, AdviceError>,
         now: Now,
     ) {
-        self.advice_requests.answered(step);
+        self.advice_requests.remove_request(step);
         for (k, each) in self.advice_requests.take_demand(step) {
             let r = self.runners.get_mut(k);
             r.anticipated = r.anticipated.sub(&each);
--- a/src/control/engine/advice_targets.rs
+++ b/src/control/engine/advice_targets.rs
@@ -44,9 +44,10 @@
     ) -> bool {
         let need = v.step.demand();
         let runners_with_cpu = self.runners_with_cpu(&v.queue.service, need.cpu, now);
-        let on = self.tasks_per_runner(v);
-        let fits =
-            |k| self.candidate_on(v, k, &on, reserved, now).is_some_and(|p| need.fits(&p.free));
+        let task_counts = self.tasks_per_runner(v);
+        let fits = |k| {
+            self.candidate_on(v, k, &task_counts, reserved, now).is_some_and(|p| need.fits(&p.free))
+        };
         v.queue.approval.is_some()
             && runners_with_cpu.into_iter().any(|k| !self.advice_known(v, k) && fits(k))
     }
@@ -71,8 +72,8 @@
         if v.queue.approval.is_none() || a.pending > 0 || a.retry_at > now.mono || held_back {
             return;
         }
-        // A gang for which the approved runners have capacity has reserved it and does not get
-        // here.
+        // A gang for which the approved runners have capacity has a provisional reservation and
+        // does not get here.
         let mut picked = match v.step.gang {
             true => Vec::new(),
             false => self.approved_with_capacity(v, reserved, now),
@@ -89,7 +90,7 @@
 
     /// Records the capacity that `missing` tasks will probably use on the named runners, until the
     /// answer arrives. Without it, all requests of a burst of lookups would name the same runners,
-    /// whose capacity is gone with the first answers, and the other steps would repeat their
+    /// whose capacity is used up after the first answers, and the other steps would repeat their
     /// requests again and again. Non-urgent steps are left out: their requests take long, and would
     /// spread lookups over the cell.
     fn record_demand(&mut self, v: &StepView<'_>, named: &[RunnerKey], missing: usize) {
@@ -121,7 +122,7 @@
         candidates.into_iter().filter(|p| need.fits(&p.free)).map(|p| p.key).collect()
     }
 
-    /// Runners to name that were not named yet.
+    /// Runners to name out of those that no request for the step has named yet.
     fn unnamed_runners(
         &mut self,
         v: &StepView<'_>,
@@ -140,9 +141,9 @@
         let need = v.step.demand();
         // Ordered by free capacity, largest first.
         let all = self.runners_with_cpu(&v.queue.service, 0, now);
-        let on = self.tasks_per_runner(v);
+        let task_counts = self.tasks_per_runner(v);
         let unnamed = |k: &RunnerKey| !self.advice_known(v, *k);
-        let candidate = |k: RunnerKey| self.candidate_on(v, k, &on, reserved, now);
+        let candidate = |k: RunnerKey| self.candidate_on(v, k, &task_counts, reserved, now);
         let candidates = all.iter().copied().filter(unnamed).filter_map(candidate);
         match v.kind() {
             Kind::Gang => self.select_gang_runners(v, candidates, missing),
--- a/src/control/engine/commit.rs
+++ b/src/control/engine/commit.rs
@@ -49,7 +49,7 @@
 /// Writes of one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// When they were taken, local ms.
+    /// When the batch was taken, local ms.
     pub at: u64,
     /// The writes.
     pub writes: Vec<Write>,
@@ -89,8 +89,8 @@
     }
 
     /// Jobs to store next. On a store that accepts few rows a second more are waiting than fit into
-    /// a batch: without an order, the start of a lookup waited seconds behind completions of batch
-    /// tasks.
+    /// a batch: without an order, the start of a lookup would wait for seconds behind completions
+    /// of batch tasks.
     fn next_ids(&self, scope: PartitionScope, max: usize) -> Vec<JobId> {
         let waiting = self.unstored(scope).map(|(id, at)| (at, id));
         let mut oldest: Vec<(u64, JobId)> = waiting.collect();
@@ -191,9 +191,9 @@
         }
     }
 
-    /// Rows differ from what was expected: an earlier write without an answer was applied. Only the
-    /// leader writes these rows, so that its own state is current and only the versions are taken
-    /// over.
+    /// Handles rows with other versions than expected: an earlier write without an answer was
+    /// applied. Only the leader writes these rows, so that its own state is current and only the
+    /// versions are copied.
     fn conflict(&mut self, batch: &Batch, found: &[Row]) {
         for w in &batch.writes {
             let key = rows::progress_key(w.job);
--- a/src/control/engine/forecast.rs
+++ b/src/control/engine/forecast.rs
@@ -1,4 +1,5 @@
-//! Remaining work of jobs: run-time models learn from completed steps and predict waiting ones.
+//! Remaining work of jobs: run-time models, updated with completed steps, predict the run times of
+//! the others.
 
 use super::{progress, Engine, Job, Now};
 use crate::control::model::{Attempt, JobId, Step, StepId, TaskId};
--- a/src/control/engine/gang_reservations.rs
+++ b/src/control/engine/gang_reservations.rs
@@ -87,8 +87,8 @@
 }
 
 impl Engine {
-    /// Reserves runners for a waiting gang, of its `candidates`, largest free capacity
-    /// first, until the capacity that is free and that is expected to become free is enough.
+    /// Reserves runners for a waiting gang out of its `candidates`, largest free capacity first,
+    /// until the capacity that is free there or expected to become free is enough.
     pub(super) fn reserve(
         &self,
         id: StepId,
--- a/src/control/engine/gangs.rs
+++ b/src/control/engine/gangs.rs
@@ -19,8 +19,8 @@
 }
 
 impl Engine {
-    /// Handles the loss of a gang's member that the other members don't notice: they are stopped,
-    /// so that the gang starts again as a whole.
+    /// Stops the other members of a gang after the loss or the stop of one, unless the step is
+    /// done, so that the gang starts again as a whole.
     pub(super) fn gang_broken(&mut self, id: TaskId, now: Now) {
         let Some(job) = self.jobs.get(&id.step.job) else { return };
         let broken = job.spec(id.step).gang && job.step(id.step).is_some_and(|s| !s.done());
@@ -83,11 +83,11 @@
     /// Members of the gang's last attempt that run or may run, and their runners.
     fn remaining_members(&self, step: StepId) -> Vec<(TaskId, RunnerKey)> {
         let Some(s) = self.step(step) else { return Vec::new() };
-        let of = |(id, t): (TaskId, &super::Task)| {
+        let member = |(id, t): (TaskId, &super::Task)| {
             let run = t.run.as_ref().filter(|_| t.attempt == s.broken.attempt)?;
             Some((id, run.runner))
         };
-        s.ids().zip(&s.tasks).filter_map(of).collect()
+        s.ids().zip(&s.tasks).filter_map(member).collect()
     }
 
     /// The runner on which all remaining members of a broken gang must have ended; `None` if that
--- a/src/control/engine/jobs.rs
+++ b/src/control/engine/jobs.rs
@@ -21,7 +21,7 @@
     pub done: bool,
     /// Newest checkpoint; empty if there is none.
     pub saved: String,
-    /// The run that is placed, may run or runs; `None` if there is none.
+    /// Its current run, from the placement until the run is over; `None` if there is none.
     pub run: Option<Run>,
     /// Runners on which it failed or made no progress; others are preferred.
     pub avoid: BTreeSet<RunnerKey>,
--- a/src/control/engine/lifecycle.rs
+++ b/src/control/engine/lifecycle.rs
@@ -14,17 +14,17 @@
         &mut self,
         id: JobId,
         row: Arc<JobRow>,
-        p: Option<(u64, ProgressRow)>,
+        progress: Option<(u64, ProgressRow)>,
         now: Now,
     ) {
         if self.jobs.contains_key(&id) {
             return;
         }
         let mut job = Job::new(id, row);
-        if let Some((version, p)) = &p {
+        if let Some((version, row)) = &progress {
             job.version = *version;
             let leases_end = self.predecessor_leases_end();
-            job.load(p, leases_end, &mut |name| self.runner_named(name));
+            job.load(row, leases_end, &mut |name| self.runner_named(name));
         }
         for step in &job.steps {
             for task in step.ids() {
@@ -35,8 +35,8 @@
                 }
             }
         }
-        // A new leader adds all jobs of the last minutes at once, most of which have ended: a line
-        // for each would displace the lines about the takeover.
+        // A new leader adds all jobs of the last minutes at once, most of which have ended: a log
+        // line for each would displace those about the leader change.
         if job.state.ended() {
             self.ended_jobs.insert((job.ended, id));
         } else {
@@ -46,7 +46,7 @@
         self.jobs.insert(id, job);
         self.forecast(id);
         self.open_steps_of(id, now);
-        if p.is_some() {
+        if progress.is_some() {
             self.update_state(id, now);
         }
     }
--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -30,14 +30,15 @@
     }
 }
 
-/// How long a run is known to have run until its runner stopped answering, ms.
-fn observed_run_ms(task: &Task, unanswered_since: u64) -> Option<u64> {
+/// How long a task's run is known to have run up to the local time `until`, ms; `None` if it was
+/// not seen running.
+fn observed_run_ms(task: &Task, until: u64) -> Option<u64> {
     let began = task.run.as_ref().map(|r| r.progress.began).filter(|at| *at > 0)?;
-    Some(unanswered_since.saturating_sub(began))
+    Some(until.saturating_sub(began))
 }
 
 impl Engine {
-    /// Marks all runs on a runner whose incarnation or lease is over as lost.
+    /// Marks all runs on a runner that was replaced or whose lease has expired as lost.
     pub(super) fn mark_lost(&mut self, k: RunnerKey, why: Loss, now: Now) {
         let tasks: Vec<(TaskId, Attempt)> = self.runners.get(k).tasks.keys().copied().collect();
         let lost: Vec<TaskId> = tasks
@@ -116,8 +117,8 @@
         self.loss_rate.record_end(ran.unwrap_or(0), now.mono);
     }
 
-    /// Of these candidates, the runners on which a task runs that was last lost together with this one:
-    /// if both were lost again, the cause could still not be attributed to one of them.
+    /// Of these candidates, the runners on which a task runs that was last lost together with this
+    /// one: if both were lost again, the cause could still not be attributed to one of them.
     pub(super) fn runners_with_companions(
         &self,
         id: TaskId,
--- a/src/control/engine/mod.rs
+++ b/src/control/engine/mod.rs
@@ -134,7 +134,7 @@
 
 /// The scheduler of the cell.
 pub struct Engine {
-    /// Limits.
+    /// Limits that follow from the platform's bounds.
     pub rules: Rules,
     /// Fencing token of this term.
     pub fence: u64,
@@ -169,7 +169,7 @@
     /// Jobs of which only the state shown to callers has changed, by the time when it is to be
     /// stored, local ms.
     deferred: BTreeSet<(u64, JobId)>,
-    /// Ended jobs by the time of their end, Unix ms.
+    /// Ended jobs, by the time when they ended, Unix ms.
     ended_jobs: BTreeSet<(u64, JobId)>,
     acts: Vec<Action>,
     /// Provisional reservations of gangs whose tickets are being requested.
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -16,7 +16,7 @@
 /// lookups as they occur on a calm day, some 4 % of the capacity.
 const URGENT_RESERVE_PERMILLE: u64 = 40;
 
-/// A waiting step with the data of it that a planning round needs.
+/// A waiting step, and the data that a planning round needs of it.
 pub(super) struct StepView<'a> {
     pub id: StepId,
     pub step: &'a Step,
@@ -222,17 +222,17 @@
         now: Now,
     ) -> Vec<Candidate<RunnerKey>> {
         self.counts.looks += keys.len() as u64;
-        let on = self.tasks_per_runner(v);
-        keys.iter().filter_map(|&k| self.candidate_on(v, k, &on, reserved, now)).collect()
+        let task_counts = self.tasks_per_runner(v);
+        keys.iter().filter_map(|&k| self.candidate_on(v, k, &task_counts, reserved, now)).collect()
     }
 
-    /// The capacity that a runner has for a step of which `on` tasks run on each runner; `None` if
-    /// the runner may not run the step.
+    /// The capacity that a runner has for a step; `None` if it may not run the step. `task_counts`
+    /// is the number of the step's tasks on each runner, see [`Self::tasks_per_runner`].
     pub(super) fn candidate_on(
         &self,
         v: &StepView<'_>,
         k: RunnerKey,
-        on: &BTreeMap<RunnerKey, u32>,
+        task_counts: &BTreeMap<RunnerKey, u32>,
         reserved: &GangReservations,
         now: Now,
     ) -> Option<Candidate<RunnerKey>> {
@@ -244,7 +244,7 @@
         }
         let limit = match v.step.per_runner {
             0 => u32::MAX,
-            n => n.saturating_sub(on.get(&k).copied().unwrap_or(0)),
+            n => n.saturating_sub(task_counts.get(&k).copied().unwrap_or(0)),
         };
         let free = if v.non_urgent { reserved.available(k, r.free()) } else { r.free() };
         Some(Candidate {
@@ -399,8 +399,8 @@
             if !runners.iter().all(|k| self.runners.get(*k).reservation_fits()) {
                 return;
             }
-            if let Some(b) = self.release_provisional(v.id) {
-                self.decide_gang(v, &b.keys, now);
+            if let Some(reservation) = self.release_provisional(v.id) {
+                self.decide_gang(v, &reservation.keys, now);
             }
             return;
         }
--- a/src/control/engine/preempt.rs
+++ b/src/control/engine/preempt.rs
@@ -89,11 +89,11 @@
         let spec = job.spec(id.step);
         let task = job.step(id.step)?.tasks.get(id.index as usize)?;
         let run = task.run.as_ref()?;
-        let runs = matches!(run.stage, Stage::Running { .. });
+        let running = matches!(run.stage, Stage::Running { .. });
         let Progress { percent, .. } = run.progress;
-        let kind = queue.priority > 0 && spec.saves && !spec.gang && !spec.lasts && !spec.fills;
+        let eligible = queue.priority > 0 && spec.saves && !spec.gang && !spec.lasts && !spec.fills;
         let due = job.begin(id.step.occurrence) + job.objective(queue);
-        let slack = now.wall + job.path_ms[id.step.step as usize] + MIN_SLACK_MS <= due;
-        Some(kind && runs && slack && !task.preempted && percent < MAX_PROGRESS_PERCENT)
+        let has_slack = now.wall + job.path_ms[id.step.step as usize] + MIN_SLACK_MS <= due;
+        Some(eligible && running && has_slack && !task.preempted && percent < MAX_PROGRESS_PERCENT)
     }
 }
--- a/src/control/engine/provisional.rs
+++ b/src/control/engine/provisional.rs
@@ -1,8 +1,8 @@
 //! Provisional reservations: capacity kept for a gang while its tickets are requested.
 //!
-//! Capacity that is free when an advice request for a gang is sent is usually gone when the answer
-//! arrives. Without a reservation the gang repeats its request again and again, and loads the
-//! service at the expense of all other steps. Reservations are bounded in time.
+//! Capacity that is free when an advice request for a gang is sent is usually in use by the time
+//! the answer arrives. Without a reservation the gang repeats its request again and again, and
+//! loads the service at the expense of all other steps. The time of a reservation is bounded.
 
 use super::{Engine, Now, RunnerKey};
 use crate::control::model::StepId;
@@ -27,7 +27,9 @@
     /// Runner of each member.
     pub keys: Vec<RunnerKey>,
     need: Resources,
+    /// When it expires, local ms; extended while an advice request for the step is pending.
     until: u64,
+    /// Latest time to which `until` may be extended, local ms.
     limit: u64,
 }
 
--- a/src/control/engine/reports.rs
+++ b/src/control/engine/reports.rs
@@ -126,9 +126,9 @@
     }
 
     /// Since when a member of a gang was able to work, local ms; `None` if it waits for others.
-    fn able_since(&self, id: TaskId, of: &Progress) -> Option<u64> {
+    fn able_since(&self, id: TaskId, progress: &Progress) -> Option<u64> {
         let step = self.step(id.step)?;
-        let waits = of.work_done() && progress::any_working(step);
+        let waits = progress.work_done() && progress::any_working(step);
         progress::all_running_since(step).filter(|_| !waits)
     }
 
@@ -156,8 +156,8 @@
         // never takes effect. A start that arrives after the stop of its attempt is refused.
         let lost = match run.stage {
             Stage::Inherited => true,
-            Stage::Running { clock: ran } => clock > ran,
-            Stage::Stopping { answered: Some(at) } => clock > at,
+            Stage::Running { clock: confirmed } => clock > confirmed,
+            Stage::Stopping { answered: Some(stopped) } => clock > stopped,
             Stage::Storing { .. } | Stage::Sent | Stage::Stopping { answered: None } => false,
         };
         if lost {
--- a/src/control/engine/runners.rs
+++ b/src/control/engine/runners.rs
@@ -33,8 +33,8 @@
 /// Maximum number of doublings of [`AVOID_MS`].
 const AVOID_DOUBLINGS: u32 = 4;
 
-/// Number of different jobs that must fail on a runner before failures count as strikes: a single
-/// job may have failed by a fault of its own.
+/// Number of different jobs that must fail on a runner, without a completed task in between, before
+/// failures count as strikes: a single job may have failed by a fault of its own.
 const MIN_FAILED_JOBS: usize = 2;
 
 /// Strikes of a runner, and until when it is avoided.
@@ -284,13 +284,13 @@
 
     /// Unlists the runners that a full read of the registry did not return.
     pub fn retain_registered(&mut self, ids: &BTreeSet<String>) {
-        let gone: Vec<String> = self
+        let unlisted: Vec<String> = self
             .runners
             .iter()
             .filter(|(_, r)| r.listed && !ids.contains(&r.id))
             .map(|(_, r)| r.id.clone())
             .collect();
-        for id in gone {
+        for id in unlisted {
             self.register(&id, None);
         }
     }
--- a/src/control/engine/runs.rs
+++ b/src/control/engine/runs.rs
@@ -2,9 +2,11 @@
 //!
 //! An order without an answer may still be carried out seconds later. If the capacity of its run
 //! were released before, the runner could be overcommitted, or the task could start elsewhere and
-//! run twice. A run therefore keeps its capacity until its completion is reported; or a stop of its
-//! attempt was acknowledged and a later poll does not list it; or the lease or the incarnation of
-//! its runner is over.
+//! run twice. A run therefore keeps its capacity until one of these:
+//!
+//! - its completion is reported;
+//! - a stop of its attempt was acknowledged, and a later poll does not list it;
+//! - the lease of its runner has expired, or another incarnation has replaced the runner.
 
 use super::progress::Progress;
 use super::{Action, Engine, Now, RunnerKey};
@@ -258,6 +260,8 @@
             Refusal::NoResponse | Refusal::Unreachable if tries < MAX_START_TRIES => {
                 self.order_start(id, now, START_RETRY_MS);
             }
+            // The attempt has ended or was stopped there: the next poll reports its completion, or
+            // does not list it, and it is marked as lost.
             Refusal::Superseded => run.stage = Stage::Running { clock: 0 },
             Refusal::NoResponse => self.order_stop(id, StopReason::NoAnswer, now),
             _ => {
--- a/src/control/engine/store_backlog.rs
+++ b/src/control/engine/store_backlog.rs
@@ -14,14 +14,15 @@
 use crate::control::partitions::{self, Partition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// While a placement has waited for the store for longer than this, nothing more is decided, ms:
-/// several commits of a store sixty times too slow, and less than a ticket's validity.
+/// While a placement has waited longer than this for the store, nothing more is decided for its
+/// partition, ms: several commits of a store sixty times too slow, and less than a ticket's
+/// validity.
 const STORE_LATE_MS: u64 = 1_400;
 
 /// Time in which the pending jobs should be stored, ms: a fraction of a ticket's validity.
 const WINDOW_MS: u64 = 600;
 
-/// Minimum limit of pending jobs of a partition: one transaction.
+/// Lower bound of the limit of pending jobs of a partition: the writes of one transaction.
 const MIN_WINDOW: u64 = 46;
 
 /// Placements of a job that are not stored.
@@ -38,7 +39,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Storing {
     waiting: BTreeMap<(Partition, bool), BTreeSet<(u64, JobId)>>,
-    parts: [WritePerformance; partitions::COUNT],
+    performance: [WritePerformance; partitions::COUNT],
 }
 
 /// Recent write performance of a partition.
@@ -54,25 +55,25 @@
 
 impl Storing {
     /// Duration of the last commit to a partition, ms; 0 before the first.
-    pub fn took(&self, part: Partition) -> u64 {
-        self.parts[part.index()].took
+    pub fn commit_ms(&self, part: Partition) -> u64 {
+        self.performance[part.index()].took
     }
 
     /// Records that a commit sent at `sent` stored `rows` rows of a partition.
     pub fn record_commit(&mut self, part: Partition, rows: usize, sent: u64, now: u64) {
-        let speed = &mut self.parts[part.index()];
+        let latest = &mut self.performance[part.index()];
         let took = now.saturating_sub(sent);
         // For transactions that are carried out one after the other, the time counts from the end
         // of the previous one.
-        let span = took.min(now.saturating_sub(speed.ended)).max(1);
-        *speed = WritePerformance { took, ended: now, rate: rows as u64 * 1_000 / span };
+        let span = took.min(now.saturating_sub(latest.ended)).max(1);
+        *latest = WritePerformance { took, ended: now, rate: rows as u64 * 1_000 / span };
     }
 
     /// Maximum number of pending jobs of a partition; unlimited before the first commit.
     fn window(&self, part: Partition) -> u64 {
-        match self.parts[part.index()] {
+        match self.performance[part.index()] {
             WritePerformance { ended: 0, .. } => u64::MAX,
-            speed => (speed.rate * WINDOW_MS / 1_000).max(MIN_WINDOW),
+            latest => (latest.rate * WINDOW_MS / 1_000).max(MIN_WINDOW),
         }
     }
 
