--- a/tests/common/control.rs
+++ b/tests/common/control.rs
@@ -64,7 +64,7 @@
     /// A transaction of one partition, ms; one of several partitions takes twice as long.
     pub txn: u64,
     /// Round-trip time of a call, ms.
-    pub way: u64,
+    pub round_trip: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -74,7 +74,7 @@
     Stopped(RunnerKey, TaskId, Attempt, Result<u64, Refusal>),
     Polled(RunnerKey, Result<Report, Refusal>),
     Advised(StepId, Vec<String>, Advice),
-    Apply { term: u64, scope: PartitionScope, batch: Batch, answered: bool, way: u64 },
+    Apply { term: u64, scope: PartitionScope, batch: Batch, answered: bool, answer_delay: u64 },
     Committed(PartitionScope, Batch, Outcome),
     Restarted(usize),
 }
@@ -101,7 +101,7 @@
     pub approves: fn(StepId, usize) -> bool,
     /// When each connection to the approval service is free again, ms; empty for immediate answers.
     pub connections: Vec<f64>,
-    /// Number of connections, the first ones, that accept no requests of more than 50 ms.
+    /// Number of connections, counted from the first, that accept no requests of more than 50 ms.
     pub short_connections: usize,
     /// Number of requests that may queue on a connection; more are refused.
     pub queue_limit: f64,
@@ -135,10 +135,14 @@
     /// When each partition of the store is free again, ms.
     free: [u64; partitions::COUNT],
     term: u64,
+    /// Scheduled events, each with the term in which it was scheduled, by time, ms, and `seq`.
     events: BTreeMap<(u64, u64), (u64, Event)>,
+    /// Number of scheduled events, which orders those of the same time.
     seq: u64,
+    /// Tasks whose completion as done was acknowledged.
     done: BTreeMap<TaskId, bool>,
-    fails: BTreeSet<JobId>,
+    /// Jobs whose tasks all fail.
+    poisoned: BTreeSet<JobId>,
     rng: StdRng,
 }
 
@@ -223,7 +227,7 @@
             events: BTreeMap::new(),
             seq: 0,
             done: BTreeMap::new(),
-            fails: BTreeSet::new(),
+            poisoned: BTreeSet::new(),
             rng: StdRng::seed_from_u64(seed),
         };
         for _ in 0..n {
@@ -272,7 +276,7 @@
 
     /// Makes all tasks of `id` fail.
     pub fn poison(&mut self, id: JobId) {
-        self.fails.insert(id);
+        self.poisoned.insert(id);
     }
 
     /// Cancels a job.
@@ -292,8 +296,8 @@
         (0..self.runners.len()).filter(|&i| on(&self.runners[i])).collect()
     }
 
-    /// Replaces the scheduler by that of a new leader; orders of the previous one may still be on
-    /// their way.
+    /// Replaces the scheduler by that of a new leader; orders of the previous one may still be in
+    /// flight.
     pub fn change_leader(&mut self) {
         self.version += 1;
         self.term = self.version;
@@ -319,7 +323,8 @@
         });
     }
 
-    fn at(&mut self, delay: u64, e: Event) {
+    /// Schedules an event in `delay` ms.
+    fn schedule(&mut self, delay: u64, e: Event) {
         self.seq += 1;
         self.events.insert((self.now + delay, self.seq), (self.term, e));
     }
@@ -336,7 +341,7 @@
                     break;
                 }
                 if let Some((term, e)) = self.events.remove(&(at, seq)) {
-                    self.event(term, e);
+                    self.handle_event(term, e);
                 }
             }
             self.engine.tick(self.clocks());
@@ -350,14 +355,14 @@
         }
     }
 
-    fn event(&mut self, term: u64, e: Event) {
+    fn handle_event(&mut self, term: u64, e: Event) {
         let (now, current) = (self.clocks(), term == self.term);
         match e {
             Event::Arrive { act, answered, .. } => self.arrive(act, answered && current),
-            Event::Apply { term, scope, batch, answered, way } => {
+            Event::Apply { term, scope, batch, answered, answer_delay } => {
                 let out = self.apply(term, &batch);
                 if answered && current {
-                    self.at(way, Event::Committed(scope, batch, out));
+                    self.schedule(answer_delay, Event::Committed(scope, batch, out));
                 }
             }
             Event::Restarted(i) => self.restart(i),
@@ -366,7 +371,7 @@
             Event::Stopped(k, id, attempt, res) => self.engine.stopped(k, id, attempt, res, now),
             Event::Polled(k, res) => self.engine.polled(k, res, now),
             Event::Advised(step, ids, a) => self.engine.advice_received(step, &ids, Ok(a), now),
-            Event::Committed(scope, batch, out) => self.answered(scope, &batch, &out),
+            Event::Committed(scope, batch, out) => self.commit_answered(scope, &batch, &out),
         }
     }
 
--- a/tests/common/control/calls.rs
+++ b/tests/common/control/calls.rs
@@ -23,7 +23,9 @@
             Action::RequestAdvice { step, ids, cost_ms } => {
                 self.request_advice(*step, ids.clone(), *cost_ms)
             }
-            Action::Poll { .. } => self.at(ONE_WAY_MS, Event::Arrive { term, act, answered: true }),
+            Action::Poll { .. } => {
+                self.schedule(ONE_WAY_MS, Event::Arrive { term, act, answered: true })
+            }
             Action::Start { after_ms, .. } => self.order(*after_ms, act),
             Action::Stop { .. } => self.order(0, act),
         }
@@ -35,17 +37,17 @@
         self.requests.push(ids.len());
         let now = self.now as f64;
         if !self.connections.is_empty()
-            && self.connections.iter().all(|l| l - now > self.queue_limit * cost)
+            && self.connections.iter().all(|busy| busy - now > self.queue_limit * cost)
         {
             self.refused += 1;
             return self.engine.advice_received(step, &ids, Err(AdviceError::Busy), self.clocks());
         }
-        let ok = |id: &&String| (self.approves)(step, id[1..].parse().unwrap());
+        let approves = |id: &&String| (self.approves)(step, id[1..].parse().unwrap());
         let ticket = |id: &String| Ticket { id: id.clone(), ticket: "t".into() };
-        let approved = ids.iter().filter(ok).map(ticket).collect();
+        let approved = ids.iter().filter(approves).map(ticket).collect();
         let advice = Advice { approved, valid_ms: 2_000 };
         match self.connection_delay(cost) {
-            Some(delay) => self.at(delay, Event::Advised(step, ids, advice)),
+            Some(delay) => self.schedule(delay, Event::Advised(step, ids, advice)),
             None => self.engine.advice_received(step, &ids, Ok(advice), self.clocks()),
         }
     }
@@ -63,18 +65,19 @@
     fn order(&mut self, after: u64, act: Action) {
         let term = self.term;
         if self.rng.gen_bool(self.faults.late) {
-            self.no_answer(&act);
+            self.schedule_timeout(&act);
             let delay = self.rng.gen_range(2_000..12_000);
-            return self.at(delay, Event::Arrive { term, act, answered: false });
+            return self.schedule(delay, Event::Arrive { term, act, answered: false });
         }
         let answered = !self.rng.gen_bool(self.faults.unanswered);
         if !answered {
-            self.no_answer(&act);
+            self.schedule_timeout(&act);
         }
-        self.at(after + ONE_WAY_MS, Event::Arrive { term, act, answered });
+        self.schedule(after + ONE_WAY_MS, Event::Arrive { term, act, answered });
     }
 
-    fn no_answer(&mut self, act: &Action) {
+    /// Schedules the timeout of a call without an answer.
+    fn schedule_timeout(&mut self, act: &Action) {
         let e = match act {
             Action::Start { runner, start, .. } => {
                 Event::Started(*runner, start.task, start.attempt, Err(Refusal::NoResponse))
@@ -85,7 +88,7 @@
             Action::Poll { runner, .. } => Event::Polled(*runner, Err(Refusal::NoResponse)),
             Action::RequestAdvice { .. } => return,
         };
-        self.at(TIMEOUT_MS, e);
+        self.schedule(TIMEOUT_MS, e);
     }
 
     /// Delivers an order or a poll to its runner, if the runner is reachable.
@@ -101,7 +104,7 @@
         let lost = r.unreachable_until > self.now || (!r.exists && !r.replaced);
         if lost {
             if answered {
-                self.no_answer(&act);
+                self.schedule_timeout(&act);
             }
             return;
         }
@@ -124,7 +127,7 @@
         if answered {
             let idle = matches!(e, Event::Polled(_, Ok(ref r)) if r.ends.is_empty());
             let wait = if idle { IDLE_POLL_MS } else { 0 };
-            self.at(ONE_WAY_MS + wait, e);
+            self.schedule(ONE_WAY_MS + wait, e);
         }
     }
 }
--- a/tests/common/control/crashes.rs
+++ b/tests/common/control/crashes.rs
@@ -21,16 +21,16 @@
     pub after: u64,
     /// Number of crashes of runners on which each task ran, and of its starts after [`MAX_CRASHES`]
     /// of them.
-    under: BTreeMap<TaskId, (u32, u32)>,
+    counts: BTreeMap<TaskId, (u32, u32)>,
 }
 
 impl Crashes {
     /// Number of crashes of runners on which a task ran.
-    pub fn under(&self, task: TaskId) -> u32 {
-        self.under.get(&task).map_or(0, |(crashes, _)| *crashes)
+    pub fn count(&self, task: TaskId) -> u32 {
+        self.counts.get(&task).map_or(0, |(crashes, _)| *crashes)
     }
 
-    fn crashes(&self, task: &TaskId) -> bool {
+    fn crashes_runner(&self, task: &TaskId) -> bool {
         task.index == 0 && self.jobs.contains(&task.step.job)
     }
 }
@@ -40,10 +40,10 @@
     pub fn crash_for_a_while(&mut self, i: usize) {
         let tasks: Vec<TaskId> = self.runners[i].running.keys().copied().collect();
         for task in tasks {
-            self.crashes.under.entry(task).or_default().0 += 1;
+            self.crashes.counts.entry(task).or_default().0 += 1;
         }
         self.crash(i);
-        self.at(RESTART_MS, Event::Restarted(i));
+        self.schedule(RESTART_MS, Event::Restarted(i));
     }
 
     /// Restarts a crashed runner: another incarnation answers at its address.
@@ -53,14 +53,14 @@
         self.add_runner();
     }
 
-    /// Crashes the runners on which a task that does so has run long enough.
+    /// Crashes the runners on which a task that crashes its runner has run for `Crashes::after`.
     pub(super) fn crash_runners(&mut self) {
         let due = self.now.saturating_sub(self.crashes.after);
         let hit: Vec<usize> = (0..self.runners.len())
             .filter(|&i| self.runners[i].exists)
             .filter(|&i| {
                 let mut runs = self.runners[i].running.iter();
-                runs.any(|(task, x)| x.started <= due && self.crashes.crashes(task))
+                runs.any(|(task, x)| x.started <= due && self.crashes.crashes_runner(task))
             })
             .collect();
         hit.into_iter().for_each(|i| self.crash_for_a_while(i));
@@ -68,10 +68,10 @@
 
     /// Records a violation if a task that has crashed its runners too often is started.
     pub(super) fn check_crashes(&mut self, task: TaskId) {
-        if !self.crashes.crashes(&task) {
+        if !self.crashes.crashes_runner(&task) {
             return;
         }
-        let (crashes, starts) = self.crashes.under.entry(task).or_default();
+        let (crashes, starts) = self.crashes.counts.entry(task).or_default();
         if *crashes < MAX_CRASHES {
             return;
         }
--- a/tests/common/control/orders.rs
+++ b/tests/common/control/orders.rs
@@ -33,7 +33,7 @@
     /// The run that a start creates.
     fn new_run(&mut self, s: &StartOrder) -> Running {
         let job = s.task.step.job;
-        let poison = self.fails.contains(&job)
+        let poison = self.poisoned.contains(&job)
             || (self.own_faults > 0.0 && self.rng.gen_bool(self.own_faults));
         let step = &self.jobs[&job].spec.steps[s.task.step.step as usize];
         let work_percent = self.work_percent.get(&job).copied().unwrap_or(100);
@@ -110,16 +110,16 @@
     }
 
     /// Answers a poll of runner `i`, which may extend its lease.
-    pub(super) fn poll(&mut self, i: usize, h: &PollRequest) -> Result<Report, Refusal> {
+    pub(super) fn poll(&mut self, i: usize, poll: &PollRequest) -> Result<Report, Refusal> {
         let now = self.now;
         let r = &mut self.runners[i];
-        check_fence(r, h.fence)?;
-        r.lease = r.lease.max(h.until.unwrap_or(0));
-        let noted = |e: &&End| e.number <= h.acked && e.number > r.void;
-        for end in r.ends.iter().filter(noted).filter(|e| e.kind == EndKind::Done) {
+        check_fence(r, poll.fence)?;
+        r.lease = r.lease.max(poll.until.unwrap_or(0));
+        let acknowledged = |e: &&End| e.number <= poll.acked && e.number > r.void;
+        for end in r.ends.iter().filter(acknowledged).filter(|e| e.kind == EndKind::Done) {
             self.done.insert(end.task, true);
         }
-        r.ends.retain(|e| e.number > h.acked);
+        r.ends.retain(|e| e.number > poll.acked);
         let active = r.running.iter().map(|(task, x)| ActiveRun {
             task: *task,
             attempt: x.attempt,
--- a/tests/common/control/store.rs
+++ b/tests/common/control/store.rs
@@ -29,23 +29,24 @@
             .unavailable
             .is_some_and(|p| scope == PartitionScope::All || scope == PartitionScope::One(p));
         if self.faults.store_down || unavailable {
-            return self.at(TIMEOUT_MS, Event::Committed(scope, batch, Outcome::Unknown));
+            return self.schedule(TIMEOUT_MS, Event::Committed(scope, batch, Outcome::Unknown));
         }
-        let (wait, way) = self.store_time(scope);
+        let (wait, answer_delay) = self.store_time(scope);
         if !self.rng.gen_bool(self.faults.commits) {
-            return self.at(wait, Event::Apply { term, scope, batch, answered: true, way });
+            return self
+                .schedule(wait, Event::Apply { term, scope, batch, answered: true, answer_delay });
         }
-        self.at(TIMEOUT_MS, Event::Committed(scope, batch.clone(), Outcome::Unknown));
+        self.schedule(TIMEOUT_MS, Event::Committed(scope, batch.clone(), Outcome::Unknown));
         if self.rng.gen_bool(0.75) {
             let late = if self.rng.gen() { wait } else { self.rng.gen_range(1_000..6_000) };
-            self.at(late, Event::Apply { term, scope, batch, answered: false, way });
+            self.schedule(late, Event::Apply { term, scope, batch, answered: false, answer_delay });
         }
     }
 
     /// Time until a transaction sent now is carried out, and from then until its answer, ms.
     fn store_time(&mut self, scope: PartitionScope) -> (u64, u64) {
         let Some(times) = self.times else { return (ONE_WAY_MS, ONE_WAY_MS) };
-        let half = times.way / 2;
+        let half = times.round_trip / 2;
         let (parts, takes): (Vec<Partition>, u64) = match scope {
             PartitionScope::All => (Partition::all().collect(), 2 * times.txn),
             PartitionScope::One(part) => (vec![part], times.txn),
@@ -57,7 +58,7 @@
     }
 
     /// Handles the answer to a commit.
-    pub(super) fn answered(&mut self, scope: PartitionScope, batch: &Batch, out: &Outcome) {
+    pub(super) fn commit_answered(&mut self, scope: PartitionScope, batch: &Batch, out: &Outcome) {
         let stored = matches!(out, Outcome::Done(_));
         self.batching.record_outcome(scope, stored, batch.at, self.now);
         self.engine.committed(batch, out, self.clocks());
--- a/tests/common/control/work.rs
+++ b/tests/common/control/work.rs
@@ -85,19 +85,19 @@
 
     fn break_gangs(&mut self, broken: &BTreeSet<(StepId, Attempt)>) {
         for r in self.runners.iter_mut().filter(|r| r.exists && !broken.is_empty()) {
-            let of = |(task, x): (&TaskId, &Running)| {
+            let broken_task = |(task, x): (&TaskId, &Running)| {
                 let hit = x.gang.is_some() && broken.contains(&(task.step, x.attempt));
                 hit.then_some(*task)
             };
-            let tasks: Vec<TaskId> = r.running.iter().filter_map(of).collect();
+            let tasks: Vec<TaskId> = r.running.iter().filter_map(broken_task).collect();
             tasks.into_iter().for_each(|t| r.end(t, EndKind::Broken));
         }
     }
 
     /// Crashes a runner: its runs are gone, and calls to it are not answered.
     pub fn crash(&mut self, i: usize) {
-        let of = |(task, x): (&TaskId, &Running)| x.gang.map(|_| (task.step, x.attempt));
-        let broken = self.runners[i].running.iter().filter_map(of).collect();
+        let gang_of = |(task, x): (&TaskId, &Running)| x.gang.map(|_| (task.step, x.attempt));
+        let broken = self.runners[i].running.iter().filter_map(gang_of).collect();
         self.runners[i].exists = false;
         self.runners[i].running.clear();
         self.break_gangs(&broken);
@@ -107,8 +107,9 @@
     pub fn break_gang(&mut self, job: JobId, step: u32) {
         let id = StepId { job, occurrence: 0, step };
         let running = self.runners.iter().flat_map(|r| &r.running);
-        let of = |(task, x): (&TaskId, &Running)| (task.step == id).then_some((id, x.attempt));
-        let broken = running.filter_map(of).collect();
+        let attempt_of =
+            |(task, x): (&TaskId, &Running)| (task.step == id).then_some((id, x.attempt));
+        let broken = running.filter_map(attempt_of).collect();
         self.break_gangs(&broken);
     }
 }
--- a/tests/control_capacity.rs
+++ b/tests/control_capacity.rs
@@ -26,7 +26,8 @@
     cell
 }
 
-/// Guards against starts whose capacity is gone since their placement was decided.
+/// Guards against a start on a runner whose capacity has shrunk since the placement was decided, so
+/// that the task no longer fits.
 #[test]
 fn no_start_is_sent_to_a_runner_without_capacity_for_it() {
     for gang in [false, true] {
@@ -43,7 +44,8 @@
     }
 }
 
-/// Guards against placements based on an outdated capacity.
+/// Guards against placements based on an outdated capacity: a shrunk runner gets only what fits,
+/// and a grown one gets more.
 #[test]
 fn placements_follow_a_changed_capacity() {
     let mut cell = Cell::new(1, 4);
--- a/tests/control_crashes.rs
+++ b/tests/control_crashes.rs
@@ -80,7 +80,8 @@
     out
 }
 
-/// Guards against losing more runners than necessary, and against taking chance for a crash loop.
+/// Guards against losing more runners than necessary before a crash loop is detected, and against
+/// mistaking losses by chance for a crash loop.
 #[test]
 fn a_crash_loop_is_detected_when_chance_does_not_explain_the_losses() {
     assert!(!losses(10, &[15]).crash_loop());
@@ -92,8 +93,8 @@
     assert!(losses(1_000, &[4_000; 5]).crash_loop());
 }
 
-/// Guards against starts after the third loss that are not counted, and against losses that turn
-/// out to be none.
+/// Guards against a crash loop that is missed since its task, after three losses, ends otherwise
+/// than done; and against a loss that still counts after a completion of its run was reported.
 #[test]
 fn after_three_losses_every_end_counts_and_a_late_end_withdraws_its_loss() {
     let mut task = losses(1_000, &[4_000; 2]);
@@ -110,7 +111,7 @@
     assert!(task.crash_loop());
 }
 
-/// Guards against a task that crashes its runners without end.
+/// Guards against a task that is restarted without limit although it crashes its runners.
 #[test]
 fn a_task_that_crashes_its_runners_fails_its_job() {
     let mut load = Workload::new(12, 1);
@@ -118,10 +119,11 @@
     load.run(30_000);
     load.finish(20_000);
     assert_eq!(load.cell.stored(job), JobState::Failed);
-    assert!(load.cell.crashes.under(first(job)) >= 2);
+    assert!(load.cell.crashes.count(first(job)) >= 2);
 }
 
-/// Guards against crashes of a gang's member that count only if a completion is reported for it.
+/// Guards against crashes of a gang's member that do not count since the gang breaks, and is
+/// released, before the lease of the crashed runner expires.
 #[test]
 fn a_gang_whose_member_crashes_its_runners_fails_its_job() {
     let mut load = Workload::new(12, 2);
@@ -131,7 +133,7 @@
     assert_eq!(load.cell.stored(job), JobState::Failed);
 }
 
-/// Guards against long-running tasks that are started again however their runs end.
+/// Guards against long-running tasks that are restarted without limit, however their runs end.
 #[test]
 fn a_long_running_task_that_crashes_its_runners_fails_its_job() {
     let mut load = Workload::new(12, 3);
@@ -194,7 +196,8 @@
     assert_eq!((count(&cell), suspects(&cell)), (0, 0));
 }
 
-/// Guards against a crash late in the run, which resembles the occasional loss of a runner.
+/// Guards against a crash loop that is missed since each crash comes late in the run, and so
+/// resembles an occasional loss of a runner.
 #[test]
 fn a_task_that_crashes_its_runners_late_fails_its_job() {
     let mut load = Workload::new(12, 4);
--- a/tests/control_engine.rs
+++ b/tests/control_engine.rs
@@ -103,8 +103,9 @@
     cell.check();
 }
 
-/// As above, across a leader change: the new leader has never reached the runner, and a predecessor
-/// that could may have extended its lease until it had to step down.
+/// Guards against a task that runs twice after a leader change. A runner is unreachable for the new
+/// leader; the predecessor may still have reached it, and extended its lease until it had to step
+/// down.
 #[test]
 fn a_new_leader_waits_for_leases_of_unreachable_runners() {
     let mut cell = Cell::new(2, 4);
@@ -157,7 +158,7 @@
 
 /// Guards against a task that runs twice. A start gets no answer, its repetition is refused for its
 /// ticket, the task goes elsewhere, and the first order takes effect seconds later. A refusal of
-/// one order says nothing about earlier ones that are still on the way.
+/// one order does not mean that earlier ones, still in flight, have no effect.
 #[test]
 fn a_refusal_after_an_unanswered_start_frees_no_capacity() {
     for seed in 0..40 {
@@ -197,8 +198,8 @@
     }
 }
 
-/// Nothing is started whose placement is not stored, and running tasks go on while the store is
-/// down.
+/// While the store is down, no task starts, since its placement is not stored, and running tasks go
+/// on.
 #[test]
 fn while_the_store_is_down_tasks_run_on_and_none_starts() {
     let mut cell = Cell::new(2, 6);
@@ -253,7 +254,7 @@
     cell.run(3_000);
     let failed = (0..100).filter(|n| cell.stored(JobId(n + 1)) == JobState::Failed).count();
     assert_eq!(failed, 0);
-    // Without it, a sixth of the 200 tasks would start there.
+    // If it were not avoided, a sixth of the 200 tasks would start there.
     assert!(cell.runners[0].started <= 16, "{} starts there", cell.runners[0].started);
     cell.check();
 }
@@ -321,12 +322,12 @@
 /// there is capacity. A member's runner leaves, and the other members end as broken within 0.2 s,
 /// which shows that the missing member has ended: the gang must not wait until its lease expires.
 #[test]
-fn a_gang_starts_again_as_soon_as_its_runner_is_known_to_be_gone() {
+fn a_gang_restarts_once_its_missing_member_is_known_to_have_ended() {
     let mut cell = Cell::new(8, 12);
     let job = cell.submit(1, "patient", vec![Step { gang: true, ..step(6, 9_000, 4_000) }]);
     cell.run(2_000);
-    let gone = cell.runners_of(task(job, 3))[0];
-    cell.crash(gone);
+    let crashed = cell.runners_of(task(job, 3))[0];
+    cell.crash(crashed);
     cell.run(6_000);
     assert_eq!(cell.stored(job), JobState::Completed);
     cell.check();
@@ -500,9 +501,9 @@
 
 /// Guards against planning rounds of 20 ms, where the interval between rounds is 8 ms, with
 /// thousands of steps waiting on 350 runners: lookups start late, and so does everything else.
-/// 3,000 jobs arrive at once, half of them of a queue that needs advice, while the cell
-/// has capacity for a quarter; lookups arrive one by one. A round must not plan every waiting step
-/// and check all runners for each.
+/// 3,000 jobs arrive at once, half of them of a queue that needs advice, while the cell has
+/// capacity for a quarter; lookups arrive one by one. A round must not plan every waiting step and
+/// check all runners for each.
 #[test]
 fn a_backlog_keeps_rounds_bounded_and_lookups_first_and_starves_no_step() {
     let mut cell = Cell::new(350, 1);
@@ -520,11 +521,11 @@
         let before = cell.engine.counts.looks;
         let open = cell.engine.open_steps() as u64;
         cell.run(STEP_MS);
-        let looks = cell.engine.counts.looks - before;
+        let checks = cell.engine.counts.looks - before;
         // A pass ranks all waiting steps when it begins, and the last step planned checks all
         // runners a few times.
-        let most = MAX_CHECKS_PER_ROUND + open + 4 * 350;
-        assert!(looks <= most, "{} ms: {looks} checks, {open} steps wait", cell.now);
+        let limit = MAX_CHECKS_PER_ROUND + open + 4 * 350;
+        assert!(checks <= limit, "{} ms: {checks} checks, {open} steps wait", cell.now);
     }
     cell.check();
     for (id, at) in lookups {
@@ -580,7 +581,7 @@
     while cell.now < 20_000 && cell.ended.len() < 600 {
         cell.run(STEP_MS);
         let longest =
-            cell.connections.iter().fold(0.0, |most: f64, l| most.max(l - cell.now as f64));
+            cell.connections.iter().fold(0.0, |max: f64, busy| max.max(busy - cell.now as f64));
         assert!(longest <= 1_000.0, "{} ms: a connection is busy for {longest} ms", cell.now);
     }
     cell.check();
--- a/tests/control_store_backlog.rs
+++ b/tests/control_store_backlog.rs
@@ -12,11 +12,11 @@
 use currantgw::control::partitions::{Partition, PartitionScope};
 use currantgw::kernel::res::Resources;
 
-/// Time of a transaction of one partition and latency of a call on a healthy store, ms.
-const HEALTHY: StoreTimes = StoreTimes { txn: 3, way: 4 };
+/// Times of a healthy store.
+const HEALTHY: StoreTimes = StoreTimes { txn: 3, round_trip: 4 };
 
 /// Times of a store that is sixty times too slow.
-const SLOW: StoreTimes = StoreTimes { txn: 180, way: 240 };
+const SLOW: StoreTimes = StoreTimes { txn: 180, round_trip: 240 };
 
 /// Upper bound of a commit of a healthy store, ms.
 const QUICK_MS: u64 = 50;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_quick_store_takes_all_parts_in_one_transaction() {
+fn a_quick_store_takes_all_partitions_in_one_transaction() {
     let mut batching = CommitBatching::new(true, 0);
     assert!(batching.next(|_| false, 0).is_none());
     assert_eq!(start_commits(&mut batching, |_| true, 0), [PartitionScope::All; 3]);
@@ -54,7 +54,7 @@
 /// Guards against placements that wait for seconds on a store sixty times too slow: a commit takes
 /// 0.5 s, and transactions of different partitions need not wait for each other.
 #[test]
-fn a_slow_store_takes_each_part_by_itself() {
+fn a_slow_store_takes_each_partition_by_itself() {
     let mut batching = CommitBatching::new(true, 0);
     batching.record_sent(PartitionScope::All, 0);
     batching.record_outcome(PartitionScope::All, true, 0, QUICK_MS + 1);
@@ -76,7 +76,7 @@
 
 /// An unavailable partition delays only its own changes, and is tried again after a short delay.
 #[test]
-fn an_unavailable_part_delays_only_itself() {
+fn an_unavailable_partition_delays_only_itself() {
     let mut batching = CommitBatching::new(true, 0);
     batching.record_sent(PartitionScope::All, 0);
     batching.record_outcome(PartitionScope::All, false, 0, 900);
@@ -94,7 +94,7 @@
 
 /// A store that accepts no transactions over several partitions is sent none.
 #[test]
-fn parts_are_written_separately_without_cross_part_transactions() {
+fn partitions_are_written_separately_without_cross_partition_transactions() {
     let mut batching = CommitBatching::new(false, 0);
     assert_eq!(
         start_commits(&mut batching, |p| p.index() < 2, 0),
@@ -131,7 +131,7 @@
     /// Over all partitions in turn.
     Spread,
     /// In one partition.
-    OnePart,
+    OnePartition,
 }
 
 /// Results of the lookups that arrived within one second.
@@ -153,7 +153,7 @@
             let number = (from + s) * 1_000 + n + 1;
             let id = match ids {
                 Ids::Spread => number << 48 | number | (number % 8) << 61,
-                Ids::OnePart => number,
+                Ids::OnePartition => number,
             };
             arrived.push((cell.submit(id, "lookups", vec![step(1, 1_000, 600)]), cell.now));
             cell.run(1_000 / per_s);
@@ -175,7 +175,7 @@
 /// store sixty times too slow carries out five transactions a second in each partition, some 240
 /// rows, and twice as many change; with all progress in one partition they queue.
 #[test]
-fn a_burst_on_a_slow_store_is_stored_in_several_parts() {
+fn a_burst_on_a_slow_store_is_stored_in_several_partitions() {
     let mut cell = cell();
     cell.times = Some(SLOW);
     let seconds = run_lookups(&mut cell, Ids::Spread, 0, 6, 200);
@@ -191,9 +191,9 @@
 #[test]
 fn decisions_do_not_outrun_the_store() {
     let mut cell = cell();
-    let baseline = run_lookups(&mut cell, Ids::OnePart, 0, 2, 200);
+    let baseline = run_lookups(&mut cell, Ids::OnePartition, 0, 2, 200);
     cell.times = Some(SLOW);
-    let slow = run_lookups(&mut cell, Ids::OnePart, 10, 6, 200);
+    let slow = run_lookups(&mut cell, Ids::OnePartition, 10, 6, 200);
     let most_requests = slow.iter().map(|s| s.requests).max().unwrap();
     assert!(
         most_requests <= 2 * baseline[0].requests,
@@ -201,7 +201,7 @@
         baseline[0].requests
     );
     cell.times = Some(HEALTHY);
-    let after = run_lookups(&mut cell, Ids::OnePart, 30, 3, 200);
+    let after = run_lookups(&mut cell, Ids::OnePartition, 30, 3, 200);
     assert!(
         after[2].wait <= 2 * baseline[0].wait,
         "{} ms, {} before",
@@ -213,7 +213,7 @@
 
 /// An unavailable partition delays its own jobs, and they start once it is available again.
 #[test]
-fn jobs_of_an_unavailable_part_start_when_it_recovers() {
+fn jobs_of_an_unavailable_partition_start_when_it_recovers() {
     let mut cell = cell();
     cell.unavailable = Some(part(0));
     let lost = cell.submit(1, "lookups", vec![step(1, 1_000, 600)]);
--- a/tests/control_tickets.rs
+++ b/tests/control_tickets.rs
@@ -45,7 +45,8 @@
     cell.check();
 }
 
-/// As above: either all members of a gang start, or none.
+/// Guards against a gang of which only some members start, since the tickets of the others have
+/// expired.
 #[test]
 fn a_gang_whose_tickets_expired_starts_as_a_whole() {
     let (mut cell, job) = outage(Step { gang: true, ..step(6, 6_000, 500) });
