--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -4,14 +4,15 @@
 //! candidate that sees it unchanged for [`TAKEOVER_MS`] writes itself as leader, under the
 //! condition that both rows are still as it saw them; a leader that still sends heartbeats makes
 //! that write fail. The version of the leader's row is the fencing token. A leader that has not
-//! noticed its replacement cannot commit (its commits have the row as a condition) and is refused
-//! by every runner that its successor has polled.
+//! noticed its replacement cannot store a heartbeat, which has the leader's row as a condition, and
+//! is refused by every runner that its successor has polled.
 //!
 //! Progress is stored in several partitions, whose transactions cannot all check the leader's row.
-//! So each partition has a fence row with the token of the leader that may write there. Without it,
-//! a replaced leader stores a placement after its successor has read that partition, and the
-//! successor starts the task a second time. A term begins once its token is in the fence row of
-//! every partition, so that the progress read after that is final for all earlier terms.
+//! So each partition has a fence row with the token of the leader that may write there, which is a
+//! condition of every commit to the partition. Without it, a replaced leader stores a placement
+//! after its successor has read that partition, and the successor starts the task a second time. A
+//! term begins once its token is in the fence row of every partition, so that the progress read
+//! after that is final for all earlier terms.
 
 use super::health::Dependency;
 use super::partitions::{self, Partition};
@@ -36,12 +37,12 @@
 /// cannot reach the store, ms: two heartbeats.
 const TAKEOVER_SUSPECT_MS: u64 = 500;
 
-/// Maximum random delay of a candidate, ms, so that candidates do not all write at once.
+/// Upper bound of the random delay of a candidate, ms, so that candidates do not all write at once.
 const JITTER_MS: u64 = 80;
 
-/// After a leader has stepped down, candidates wait this long for each second that their process
-/// has run, ms, up to [`MAX_AGE_S`]. Instances are restarted in turn: the one restarted last is the
-/// last to be restarted again, while an old one may have to step down within a second.
+/// Delay of a candidate after a leader has stepped down, ms for each second that its process has
+/// run, up to [`MAX_AGE_S`]. Instances are restarted in turn: the one restarted last is the last to
+/// be restarted again, while an old one may have to step down within a second.
 const AGE_DELAY_MS: u64 = 20;
 
 /// Age from which all candidates are equal, s: the duration of a rolling restart of about ten
@@ -52,9 +53,9 @@
 /// has been a leader.
 const ONE_CPU: u64 = 1_000;
 
-/// A candidate smaller than the last leader waits this long, ms, times one processor over its size,
-/// less the same for the last leader's size. A small leader would fall behind under a load that a
-/// larger candidate could carry. Candidates at least as large as the last leader don't wait.
+/// Delay of a small candidate, ms: this long times `1 / size - 1 / size of the last leader`, with
+/// sizes in processors. A small leader would fall behind under a load that a larger candidate could
+/// carry. Candidates at least as large as the last leader don't wait.
 const SMALL_DELAY_MS: u64 = 50;
 
 /// Delay of a candidate of `size` where the last leader was of size `wanted`, ms; sizes are in
@@ -70,10 +71,10 @@
 /// Shortest interval between two polls of the election's rows, ms: each is a priced call.
 const POLL_INTERVAL_MS: u64 = 150;
 
-/// As [`POLL_INTERVAL_MS`] while the leader is known to be alive from the link to it, ms.
+/// As [`POLL_INTERVAL_MS`], while the link to the leader shows that it is alive, ms.
 const LINKED_INTERVAL_MS: u64 = 450;
 
-/// As [`LINKED_INTERVAL_MS`] for an instance that is not eligible, ms.
+/// As [`LINKED_INTERVAL_MS`], for an instance that is not eligible, ms.
 const INELIGIBLE_INTERVAL_MS: u64 = 1_000;
 
 /// Time without a heartbeat after which instances smaller than the last leader become eligible, ms:
@@ -105,7 +106,7 @@
 }
 
 impl Term {
-    /// Version up to which tables have to be read to know everything stored in earlier terms.
+    /// Version up to which tables have to be read to include everything stored in earlier terms.
     pub fn version(&self) -> u64 {
         self.parts.iter().copied().max().unwrap_or(0).max(self.fence)
     }
@@ -125,13 +126,13 @@
 
 #[derive(Clone, Debug, Default)]
 struct Observed {
-    /// Feed position; none before the rows were read.
+    /// Position in the feed; none before the rows were read.
     position: Option<u64>,
     leader: Option<LeaderRow>,
     leader_version: u64,
     /// Version of the heartbeat row.
     heartbeat: u64,
-    /// Versions of the fence rows that are known.
+    /// Versions of the fence rows; 0 where none was read.
     fences: [u64; partitions::COUNT],
     /// When the leader or its heartbeat last changed, local ms.
     since: u64,
@@ -197,8 +198,9 @@
         }
     }
 
-    /// Whether this instance is eligible: it is as large as the last leader, or there has been no
-    /// heartbeat for so long that the larger instances are presumed gone.
+    /// Whether this instance is eligible: it is at least as large as the last leader, or there has
+    /// been no heartbeat for so long that the larger instances are presumed unavailable. Where
+    /// there has been no leader, smaller instances become eligible later than larger ones.
     pub fn is_eligible(&self) -> bool {
         let now = self.clock.mono();
         let seen = self.seen.lock().unwrap();
@@ -215,18 +217,17 @@
     /// vacant.
     fn takeover_ms(&self, seen: &Observed) -> Option<u64> {
         let leader = seen.leader.as_ref().filter(|l| !l.node.is_empty())?;
-        // The row names an earlier incarnation of this instance, which is gone.
+        // The row names an earlier incarnation of this instance, which has ended.
         if leader.node == self.me.node {
             return None;
         }
         Some(if seen.suspect { TAKEOVER_SUSPECT_MS } else { TAKEOVER_MS })
     }
 
-    /// Waits as a candidate until the leadership is vacant or its holder has to be replaced, and
-    /// returns the term that this instance has won. `linked` returns whether the leader is known to
-    /// be alive from a link, `able` whether this instance has read enough to lead. One that has not
-    /// yet still follows the election, since the address of the leader's link server is known from
-    /// it.
+    /// Waits as a candidate until the leadership is vacant or the leader has to be replaced, and
+    /// returns the term that this instance has won. `linked` returns whether a link shows that the
+    /// leader is alive, `able` whether this instance has read enough to lead. An instance that is
+    /// not able yet follows the election, too: its link needs the address of the leader.
     pub async fn campaign(&self, linked: impl Fn() -> bool, able: impl Fn() -> bool) -> Term {
         self.watch(&linked, &able).await;
         let mut jitter = rand::thread_rng().gen_range(0..JITTER_MS);
@@ -268,7 +269,7 @@
                 jitter = rand::thread_rng().gen_range(0..JITTER_MS);
                 continue;
             }
-            // Neither the pause nor the next poll lasts beyond the time of a takeover.
+            // Neither the pause nor the next poll lasts beyond the time of the takeover.
             let remaining = takeover.map_or(0, |ms| ms + delay - elapsed);
             let spent = self.clock.mono() - began;
             let interval = if linked() { LINKED_INTERVAL_MS } else { POLL_INTERVAL_MS };
@@ -410,8 +411,8 @@
         Some(Term { fence, parts })
     }
 
-    /// Fences a partition, and returns the version of its fence row; none if that failed until
-    /// `deadline`, local ms, or a later term has fenced it.
+    /// Fences a partition, and returns the version of its fence row; none if all attempts until
+    /// `deadline`, local ms, failed, or a later term has fenced it.
     async fn fence_part(&self, part: Partition, fence: u64, deadline: u64) -> Option<u64> {
         let key = rows::fence_key(part);
         let mut version = self.seen.lock().unwrap().fences[part.index()];
--- a/src/control/leader/batching.rs
+++ b/src/control/leader/batching.rs
@@ -11,8 +11,8 @@
 use super::{RETRY_MS, STEP_DOWN_MS};
 use crate::control::partitions::{self, Partition, PartitionScope};
 
-/// Most transactions over all partitions in flight: one being executed, one on its way to the
-/// store, and one whose answer is on its way back.
+/// Most transactions over all partitions in flight: one in transit to the store, one being
+/// executed, and one whose answer is in transit.
 const JOINT_IN_FLIGHT: usize = 3;
 
 /// Most transactions of one partition in flight. The store executes them one after the other, so
@@ -23,7 +23,7 @@
 /// duration.
 const SLOW_COMMIT_MS: u64 = 50;
 
-/// Partitions are written separately for this long after the last slow or failed commit, ms.
+/// Time after the last slow or failed commit for which partitions are written separately, ms.
 const SEPARATE_MS: u64 = 2_000;
 
 /// Shortest interval between two transactions of one partition, ms. On a fast store each round
@@ -107,7 +107,8 @@
         self.last_ack = self.last_ack.max(sent);
     }
 
-    /// Whether the term is over because the store has acknowledged no write for [`STEP_DOWN_MS`].
+    /// Whether the term has to end because the store has acknowledged no write for
+    /// [`STEP_DOWN_MS`].
     pub fn is_expired(&self, now: u64) -> bool {
         now > self.last_ack + STEP_DOWN_MS
     }
--- a/src/control/leader/calls.rs
+++ b/src/control/leader/calls.rs
@@ -12,7 +12,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use std::collections::BTreeSet;
 
-/// Least timeout of a commit, ms: the same as that of the submission writer.
+/// Minimum timeout of a commit, ms: twice that of the submission writer.
 const COMMIT_MS: u64 = 900;
 
 /// Longest time that a poll of the feed waits for a change, ms.
@@ -22,6 +22,7 @@
 const GC_INTERVAL_MS: u64 = 500;
 
 impl Leader {
+    /// Keeps a table up to date by polling its feed; never completes.
     pub(super) fn follow(&self, table: Table, interval_ms: u64) -> BoxFuture<'_, Event> {
         async move {
             loop {
@@ -45,7 +46,7 @@
     }
 
     /// Triggers the next heartbeat after a fixed time, whether or not the previous one was
-    /// answered: a heartbeat delayed by a lost answer would make the leader appear dead.
+    /// answered: heartbeats that wait for a lost answer could cost the leader its term.
     pub(super) fn heartbeat_later(&self) -> BoxFuture<'_, Event> {
         async move {
             self.clock.sleep(HEARTBEAT_MS).await;
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -1,4 +1,4 @@
-//! The leader: runs the engine's decisions as calls, and feeds their results back to the engine.
+//! The leader: executes the engine's decisions as calls, and passes their results to the engine.
 //!
 //! All calls in flight are futures in one set that the leader polls itself. When the term ends the
 //! set is dropped, which cancels them all.
@@ -45,8 +45,8 @@
 /// once.
 const JOBS_INTERVAL_MS: u64 = 100;
 
-/// Shortest interval between two polls of the registry, ms: a runner that drains must get no new
-/// task after 2 s.
+/// Shortest interval between two polls of the registry, ms: a runner must get no new task from 2 s
+/// after it began to drain.
 const REGISTRY_INTERVAL_MS: u64 = 200;
 
 /// The leader steps down when no heartbeat or commit has been acknowledged for this long, ms. It
@@ -61,6 +61,8 @@
 /// Most ended jobs that one garbage collection deletes from the store.
 const GC_JOBS: usize = 20;
 
+/// Result of a call, or a timer that has fired. The last number of `Committed` and `Heartbeat` is
+/// when the call was sent, local ms.
 enum Event {
     Started(RunnerKey, TaskId, Attempt, Result<u64, Refusal>),
     Stopped(RunnerKey, TaskId, Attempt, Result<u64, Refusal>),
@@ -163,6 +165,7 @@
         true
     }
 
+    /// Runs planning rounds until the term ends, and returns why it has ended.
     async fn run(
         &self,
         engine: &mut Engine,
@@ -238,13 +241,14 @@
                 calls.push(self.perform(action));
             }
             self.update_view(engine);
-            // Under load there is always one more event. Without yielding, no other task of the
+            // Under load the next event is always ready. Without yielding, no other task of the
             // process would run on its one processor, and links would time out.
             task::yield_now().await;
         }
     }
 
-    /// Handles events for `round_ms`, passing each result of a call to `handle`.
+    /// Handles events for `round_ms`: passes each [`Event`] to `handle`, and applies the updates of
+    /// the local cache.
     async fn handle_events<'a>(
         &'a self,
         round_ms: u64,
@@ -257,17 +261,17 @@
         loop {
             futures::select! {
                 event = calls.select_next_some() => handle(event, engine, calls),
-                item = updates.recv().fuse() => if let Ok(item) = item {
-                    self.apply_update(engine, item);
+                update = updates.recv().fuse() => if let Ok(update) = update {
+                    self.apply_update(engine, update);
                 },
                 () = round => return,
             }
         }
     }
 
-    fn apply_update(&self, engine: &mut Engine, updates: Update) {
+    fn apply_update(&self, engine: &mut Engine, update: Update) {
         let now = self.now();
-        match updates {
+        match update {
             Update::Job(id, row) => engine.add_job(id, row, None, now),
             Update::Cancel(id) => engine.cancel(id, now),
             Update::Catalogue(cat) => engine.set_catalogue(cat),
