--- a/src/control/links/advice_queues.rs
+++ b/src/control/links/advice_queues.rs
@@ -20,9 +20,9 @@
 const MAX_QUEUED: usize = 30;
 
 /// Longest total service time of a queue, ms, unless it holds a single request. A later answer is
-/// useless, since the reserved capacity is gone: tickets are valid for about 2 s, provisional
-/// reservations for up to 5 s. A request that fits into no queue is refused at once, and its step
-/// requests advice again in a later round.
+/// useless, since what it was requested for has expired: tickets are valid for about 2 s,
+/// provisional reservations for up to 5 s. A request that fits into no queue is refused at once,
+/// and its step requests advice again in a later round.
 const MAX_QUEUE_MS: f64 = 2_500.0;
 
 /// Load of a queue.
--- a/src/control/links/client.rs
+++ b/src/control/links/client.rs
@@ -193,8 +193,8 @@
     }
 
     /// Runs one link until it breaks or the leader changes. A replaced leader keeps its links open,
-    /// since its process goes on. An instance that stayed linked to it would receive no job states,
-    /// and the new leader would have to send all advice requests over its own connection.
+    /// since its process continues. An instance that stayed linked to it would receive no job
+    /// states, and the new leader would have to send all advice requests over its own connection.
     async fn run_link(&self, addr: SocketAddr) {
         let opened = self.clock.timeout(LINK_TIMEOUT_MS, async {
             let stream = http::connect(addr).await?;
@@ -204,7 +204,7 @@
         let ws = match opened.await {
             Ok(Ok((ws, _))) => ws,
             Ok(Err(e)) => {
-                // A refused connection shows that the process is gone, however recent its
+                // A refused connection shows that the process has ended, however recent its
                 // heartbeat.
                 if e.kind() == std::io::ErrorKind::ConnectionRefused {
                     self.election.suspect_leader(addr);
@@ -259,8 +259,8 @@
         log::info!(scheduler:% = addr, broke = broke; "link to the leader closed");
     }
 
-    /// Frame sent on an idle link. From it the leader learns whether the store is unavailable to
-    /// all instances or to itself alone.
+    /// Frame sent on an idle link. It lets the leader distinguish a store that is unavailable to
+    /// all instances from one that is unavailable to itself alone.
     fn idle_frame(&self) -> Frame {
         if self.store_health.unavailable() {
             Frame::StoreUnreachable
--- a/src/control/links/mod.rs
+++ b/src/control/links/mod.rs
@@ -41,9 +41,11 @@
     pub row: Option<Vec<u8>>,
 }
 
+/// A message over a link. A call and its answer have the same `id`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Frame {
-    /// Request advice on a step, with a timeout of `ms`.
+    /// Request advice on a step, with a timeout of `ms`. The leader sends it, all other calls are
+    /// sent to the leader.
     #[serde(rename = "Ask")]
     RequestAdvice { id: u64, step: StepId, ids: Vec<String>, ms: u64 },
     /// Answer to [`Self::RequestAdvice`].
@@ -62,7 +64,7 @@
     Follows { yes: bool },
     /// Request the state of a job.
     Find { id: u64, job: JobId },
-    /// Answer to [`Self::Find`]; none if the state is not known to the sender.
+    /// Answer to [`Self::Find`]; none if the sender does not have the state.
     Found { id: u64, state: Option<JobState> },
     /// Request the number of waiting jobs of a queue.
     Count { id: u64, queue: String },
@@ -79,7 +81,7 @@
 }
 
 impl Frame {
-    /// Whether the receiver has to answer this frame.
+    /// Whether this is a call to the leader.
     fn is_call(&self) -> bool {
         matches!(self, Self::Write { .. } | Self::Find { .. } | Self::Count { .. })
     }
--- a/src/control/links/server.rs
+++ b/src/control/links/server.rs
@@ -26,15 +26,15 @@
 const ANSWER_MARGIN_MS: u64 = 800;
 
 /// Timeout of a write for another instance, ms: shorter than that instance's own timeout, so that
-/// it gets the answer whether the write was sent at all.
+/// the answer whether the write was sent at all arrives in time.
 const RELAY_TIMEOUT_MS: u64 = 700;
 
 /// Maximum age of the data behind a count of waiting jobs, ms: the bound of the interface, less the
 /// time over a link.
 const MAX_COUNT_AGE_MS: u64 = 1_500;
 
-/// The store counts as unreachable after it has refused all calls for this long, ms: many calls of
-/// a leader.
+/// The store counts as unreachable after it has refused all calls for this long, ms: a leader makes
+/// many calls in that time.
 const REFUSED_MS: u64 = 250;
 
 /// Interval between two checks whether the store is reachable, ms; they make no calls.
@@ -108,8 +108,9 @@
         self.links.lock().unwrap().len()
     }
 
-    /// Requests advice over the connection that will answer first; `cost` is the estimated service
-    /// time, ms. Fails with [`AdviceError::Busy`] if the answer would come too late on all.
+    /// Requests advice over the connection that is expected to answer first; `cost` is the
+    /// estimated service time, ms. Fails with [`AdviceError::Busy`] if the answer would come too
+    /// late on all.
     pub async fn request(
         &self,
         step: StepId,
@@ -225,9 +226,10 @@
 
     /// Notifies all linked instances when this process loses or regains the store. Without it, an
     /// instance would relay its writes to a process that cannot store them either, and would treat
-    /// a leader that has been replaced behind a partition as current. The link stays open: advice
-    /// requests go on, and an instance that reconnected would take the first frame of each new link
-    /// as a sign that writes can be relayed, so that their outcome would be unknown.
+    /// as current a leader that was replaced while a network partition cut it off.
+    ///
+    /// The link stays open, since advice requests continue. An instance that reconnected would also
+    /// relay writes from the first frame of each new link on, and their outcome would be unknown.
     async fn announce_store_health(&self) {
         let mut last = false;
         loop {
@@ -293,7 +295,7 @@
             };
             futures::future::select(Box::pin(write), Box::pin(read)).await;
         }
-        // Dropping the link fails its advice requests at once; the scheduler sends them elsewhere.
+        // Removing the link fails its advice requests at once; the scheduler sends them elsewhere.
         self.server.links.lock().unwrap().remove(&key);
         log::info!(peer:% = from, line = key; "link closed");
     }
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -26,19 +26,20 @@
 const WRITE_LATENCY_FACTOR: u64 = 10;
 
 /// Timeout of a write while the store is unresponsive, ms: many times its usual latency, and a
-/// fraction of the takeover time, which a longer wait after the store's return could exceed.
+/// fraction of the takeover time. A longer attempt that is still in flight when the store recovers
+/// could delay the leader's next write until it is replaced.
 const PROBE_TIMEOUT_MS: u64 = 300;
 
 /// Interval between two polls of the feed while a large table is read, ms: a fraction of the
 /// shortest history that a store keeps.
 const FEED_INTERVAL_MS: u64 = 1_000;
 
-/// A poll of the feed that fails after this long, ms, was still receiving data: a stalled one times
-/// out sooner.
+/// A poll of the feed that fails after this long, ms, was still receiving data, since a stalled one
+/// times out sooner.
 const FEED_TOO_LARGE_MS: u64 = 5_000;
 
-/// Most rows that one job has in a table.
-const FOUND_ROWS: usize = 8;
+/// Maximum number of rows of one job in a table.
+const MAX_JOB_ROWS: usize = 8;
 
 /// Longest timeout of a write, ms: leaves time for a second attempt within a caller's 3 s.
 const MAX_WRITE_MS: u64 = 1_600;
@@ -112,7 +113,6 @@
 /// Local cache of the store's tables, one for each instance.
 pub struct Mirror {
     store: Arc<dyn Store>,
-    /// Health of the store.
     store_health: Arc<StoreHealth>,
     clock: Clock,
     reads: Dependency,
@@ -320,8 +320,8 @@
         }
     }
 
-    /// Polls the feed of a table and applies its changes. Discards the table if the feed's history
-    /// no longer reaches back to the cached version.
+    /// Polls the feed of a table and applies its changes. Discards the position in the feed, so
+    /// that the whole table is read again, if the feed's history no longer reaches back to it.
     async fn follow(&self, table: Table, wait_ms: u64) -> Result<usize, ReadError> {
         let after = self.state.lock().unwrap().versions.get(&table).copied().unwrap_or(0);
         let sent = self.clock.mono();
@@ -462,11 +462,11 @@
     pub async fn find_job(&self, id: JobId) -> Result<Option<JobState>, ReadError> {
         let key = rows::job_key(id);
         let end = rows::cancel_key(id).key + "~";
-        let job = self.store.page(&key.table, &key.part, &key.key, Some(&end), FOUND_ROWS);
+        let job = self.store.page(&key.table, &key.part, &key.key, Some(&end), MAX_JOB_ROWS);
         let (job, progress) = futures::join!(job, self.find_progress(id));
         let (job, progress) = (job?, progress?);
-        // The cache drops the rows where it doesn't keep jobs; the state is then derived from the
-        // rows read alone.
+        // If the cache holds no jobs, it ignores these rows, and the state is derived from them
+        // alone.
         let mut found = State::default();
         let mut st = self.state.lock().unwrap();
         for (table, row) in progress
@@ -487,6 +487,6 @@
         }
         let key = rows::progress_key(id);
         let end = key.key.clone() + "~";
-        self.store.page(&key.table, &key.part, &key.key, Some(&end), FOUND_ROWS).await
+        self.store.page(&key.table, &key.part, &key.key, Some(&end), MAX_JOB_ROWS).await
     }
 }
--- a/src/control/mirror/reading.rs
+++ b/src/control/mirror/reading.rs
@@ -107,12 +107,12 @@
     pub rows: usize,
     /// The first slice has been read, and the feed is polled from its version on.
     pub started: bool,
-    /// When the feed was last polled, local ms. Kept here, not in one attempt: a failed read ends
-    /// an attempt, and without polls between attempts the history of the feed expires.
+    /// When the feed was last polled, local ms. Kept across attempts: a failed read ends an
+    /// attempt, and if each began to count anew, the history of the feed could expire between polls.
     pub feed_polled: u64,
     /// When the full read began, local ms.
     pub began: u64,
-    /// Keys of the registry's rows, from which the scheduler learns which runners are gone.
+    /// Keys of the registry's rows. The scheduler drops the runners that are not among them.
     pub keys: BTreeSet<String>,
 }
 
--- a/src/control/mirror/state.rs
+++ b/src/control/mirror/state.rs
@@ -42,7 +42,7 @@
     pub readings: BTreeMap<Table, Reading>,
     /// When the last successful poll of a table's feed was sent, local ms.
     pub polled: BTreeMap<Table, u64>,
-    /// Latency of the last poll without changes, beyond the wait it asked for, ms.
+    /// Latency of the last poll without changes, less the wait that it requested, ms.
     pub latency: u64,
     /// Chooses the size of slices of full reads.
     pub sizer: SliceSizer,
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Sends a change to the scheduler, if it runs on this instance.
     pub fn notify(&self, update: Update) {
         if let Some(tx) = &self.subscriber {
             // The scheduler's channel is unbounded and closed only when it steps down.
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Passes on a registry entry. One that is unreadable, or was written by another program,
-    /// counts as removed.
+    /// Sends a registry entry to the scheduler. One that is unreadable, or was written by another
+    /// program, counts as removed.
     fn put_runner(&mut self, row: Row) {
         let id = row.key.key;
         if let Some(reading) = self.readings.get_mut(&Table::Registry) {
@@ -170,7 +171,7 @@
         let entry = runners::entry(&row.value);
         if let Err(why) = &entry {
             metrics::counter!("control_bad_entries").increment(1);
-            // Logged once an entry: a runner rewrites its entry with each heartbeat.
+            // Logged once for each entry: a runner rewrites its entry with each heartbeat.
             if self.logged.len() < MAX_LOGGED_ENTRIES && self.logged.insert(id.clone()) {
                 log::warn!(runner = id, version = row.version, why:% = why;
                     "registry entry names no runner");
