--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -52,11 +52,10 @@
 /// Delay after a failed poll, ms.
 const RETRY_MS: u64 = 150;
 
-/// A stopping instance goes on serving until this long before the end of its grace
-/// period, ms.
+/// Time before the end of its grace period until which a stopping instance continues to serve, ms.
 const STOP_MARGIN_MS: u64 = 1_500;
 
-/// Time that a stopping instance waits for requests in flight after that, ms.
+/// Time that a stopping instance waits for requests in flight once it has stopped serving, ms.
 const DRAIN_MS: u64 = 1_000;
 
 /// Components of an instance.
@@ -170,7 +169,7 @@
         }
     }
 
-    /// Caches jobs only while this instance is the leader or eligible.
+    /// Caches jobs only while this instance is the leader or eligible; never returns.
     async fn update_role(self: Arc<Self>) {
         loop {
             let is_leader = !self.view.lock().unwrap().is_null();
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Keeps a cached table up to date by polling its feed.
+    /// Keeps a cached table up to date by polling its feed; never returns.
     async fn follow(self: Arc<Self>, table: Table, interval_ms: u64) {
         loop {
             let began = self.clock.mono();
@@ -271,7 +270,7 @@
     let (addr, halt, time) = bind(s.ready);
     let (_, ready) = admin::bind(ready_app(instance.clone()), addr, halt, time, drain).await?;
     let (addr, halt, time) = bind(s.metrics);
-    let (_, about) = admin::bind(admin_app(instance.clone()), addr, halt, time, drain).await?;
+    let (_, metrics) = admin::bind(admin_app(instance.clone()), addr, halt, time, drain).await?;
     let listener = http::listen(s.links)?;
     log::info!(id = s.id, domain = s.domain, front:% = s.front; "instance starts");
     let mut loops: Vec<JoinHandle<()>> =
@@ -296,7 +295,7 @@
     let link = instance.link.clone();
     loops.push(task::spawn(async move { link.run().await }));
     let scheduler = task::spawn(instance.clone().lead());
-    let (served, _, _) = futures::join!(serve, ready, about);
+    let (served, _, _) = futures::join!(serve, ready, metrics);
     scheduler.await;
     for l in loops {
         l.cancel().await;
--- a/src/control/partitions.rs
+++ b/src/control/partitions.rs
@@ -1,9 +1,9 @@
 //! Partitions of the progress table.
 //!
 //! A partition of the store executes one transaction at a time, independently of the others. With
-//! all progress in one partition, a slow store could not keep up with a busy cell, and a store that
-//! has lost this partition would store nothing. So jobs are spread over several partitions, each
-//! with a fence row of its own ([`super::rows::fence_key`]).
+//! all progress in one partition, a slow store could not keep up with a busy cell, and no progress
+//! could be stored while this partition is unavailable. So jobs are spread over several partitions,
+//! each with a fence row of its own ([`super::rows::fence_key`]).
 
 use super::model::JobId;
 use std::ops::RangeInclusive;
--- a/src/control/rows.rs
+++ b/src/control/rows.rs
@@ -32,8 +32,8 @@
 /// Suffix of the job's id in the key of a cancellation.
 const CANCEL_SUFFIX: &str = ".cancel";
 
-/// Largest valid size of a leader, thousandths of a core: a thousand times the largest machines
-/// there are.
+/// Largest valid size of a leader, thousandths of a processor: a thousand times the largest
+/// existing machines.
 const MAX_SIZE: u64 = 1 << 32;
 
 /// Why a row cannot be decoded.
@@ -48,7 +48,7 @@
 }
 
 /// Why a row that decodes is invalid: it holds an impossible value, written by a later version or
-/// another program. Trusted without a check, it would terminate one leader after the other, since
+/// another program. Without the check, such a row would crash one leader after the other, since
 /// each successor reads it, too.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidValue {
@@ -108,14 +108,14 @@
     }
 }
 
-/// The leader.
+/// The row that names the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "WireLeader")]
 pub struct LeaderRow {
     /// Id of the leader's instance; empty after it has stepped down.
     pub node: String,
-    /// Incarnation: a random number drawn when the process starts, so that a restarted process is
-    /// told apart from the previous one.
+    /// Incarnation: a random number drawn when the process starts, which distinguishes it from a
+    /// previous process of the same instance.
     pub life: u64,
     /// Address of its link server.
     pub links: Option<SocketAddr>,
@@ -202,7 +202,8 @@
     out
 }
 
-/// Decodes a row. Fails if it is unreadable, holds an impossible value, or is followed by bytes.
+/// Decodes a row. Fails if it is unreadable, holds an impossible value, or is followed by further
+/// bytes.
 pub fn decode<T: DeserializeOwned>(v: &[u8]) -> Result<T, BadRow> {
     let mut rest = v;
     let row = ciborium::from_reader(&mut rest).map_err(|e| BadRow::Unreadable(e.to_string()))?;
