--- a/tests/common/narrow.rs
+++ b/tests/common/narrow.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Bytes sent for one connection before the next one's turn.
+/// Amount sent for one connection before others may send, bytes.
 const CHUNK: usize = 2_048;
 
 /// A link to a server.
--- a/tests/common/users.rs
+++ b/tests/common/users.rs
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 use tide::{Request, Response};
 
-/// Interval between two checks of a waiting call, ms.
+/// Interval between two checks whether a waiting call can be answered, ms.
 const POLL_MS: u64 = 5;
 
 /// Delay of calls to an unresponsive store, ms: longer than any caller's timeout.
@@ -81,7 +81,7 @@
     /// Sequence number of the last completion.
     last_seq: u64,
     starts: BTreeMap<String, u64>,
-    /// Last attempt of each task that has ended or was stopped.
+    /// Last attempt of each task that has ended or was stopped; starts up to it are refused.
     closed: BTreeMap<String, u64>,
     work_ms: u64,
 }
@@ -143,7 +143,8 @@
         self.store.lock().unwrap().lost_partition = part.map(str::to_string);
     }
 
-    fn is_lost(&self, body: &Value) -> bool {
+    /// Whether a transaction writes to the partition that refuses writes.
+    fn writes_to_lost(&self, body: &Value) -> bool {
         let lost = self.store.lock().unwrap().lost_partition.clone();
         lost.is_some_and(|p| body["write"][0]["part"] == p.as_str())
     }
@@ -160,7 +161,7 @@
         *self.late_starts.lock().unwrap() = n;
     }
 
-    /// Whether the next start is to be executed late; counts it.
+    /// Whether the next start is to be executed late. Each call counts as one start.
     fn next_start_is_late(&self) -> bool {
         let mut remaining = self.late_starts.lock().unwrap();
         let is_late = *remaining > 0;
@@ -271,11 +272,11 @@
 }
 
 /// The answer that the store's mode prescribes; none if the call is to be served.
-async fn mode_answer(w: &Arc<Platform>, writes: bool) -> Option<Response> {
-    let mode = w.store.lock().unwrap().mode;
+async fn mode_answer(platform: &Arc<Platform>, is_write: bool) -> Option<Response> {
+    let mode = platform.store.lock().unwrap().mode;
     match mode {
         StoreMode::Healthy => None,
-        StoreMode::NoWriteAnswers if !writes => None,
+        StoreMode::NoWriteAnswers if !is_write => None,
         StoreMode::Refusing => Some(text(503, &json!({}))),
         StoreMode::Unresponsive | StoreMode::NoWriteAnswers => {
             task::sleep(Duration::from_millis(UNRESPONSIVE_MS)).await;
@@ -285,42 +286,42 @@
 }
 
 async fn tx(mut req: Request<Arc<Platform>>) -> tide::Result {
-    let w = req.state().clone();
+    let platform = req.state().clone();
     let body: Value = req.body_json().await?;
-    if w.store.lock().unwrap().mode == StoreMode::NoWriteAnswers {
-        let _ = w.tx(&body);
+    if platform.store.lock().unwrap().mode == StoreMode::NoWriteAnswers {
+        let _ = platform.tx(&body);
     }
-    if w.is_lost(&body) {
+    if platform.writes_to_lost(&body) {
         return Ok(text(503, &json!({})));
     }
-    if let Some(res) = mode_answer(&w, true).await {
+    if let Some(res) = mode_answer(&platform, true).await {
         return Ok(res);
     }
-    Ok(w.tx(&body))
+    Ok(platform.tx(&body))
 }
 
 async fn get(req: Request<Arc<Platform>>) -> tide::Result {
-    let w = req.state().clone();
-    if let Some(res) = mode_answer(&w, false).await {
+    let platform = req.state().clone();
+    if let Some(res) = mode_answer(&platform, false).await {
         return Ok(res);
     }
-    Ok(w.get(&query(&req)))
+    Ok(platform.get(&query(&req)))
 }
 
 async fn feed(req: Request<Arc<Platform>>) -> tide::Result {
-    let w = req.state().clone();
+    let platform = req.state().clone();
     let q = query(&req);
     let number = |f: &str| q.get(f).and_then(|v| v.parse().ok()).unwrap_or(0);
     let deadline = Instant::now() + Duration::from_millis(number("wait_ms"));
     loop {
-        if let Some(res) = mode_answer(&w, false).await {
+        if let Some(res) = mode_answer(&platform, false).await {
             return Ok(res);
         }
-        if let Some(res) = w.feed(&q["table"], number("after")) {
+        if let Some(res) = platform.feed(&q["table"], number("after")) {
             return Ok(res);
         }
         if Instant::now() >= deadline {
-            let version = w.store.lock().unwrap().version;
+            let version = platform.store.lock().unwrap().version;
             return Ok(text(200, &json!({"rows": [], "schema_version": version, "now_ms": 1})));
         }
         task::sleep(Duration::from_millis(POLL_MS)).await;
@@ -435,7 +436,7 @@
     }
 }
 
-/// An additional address of the store whose calls can be refused from some time on.
+/// A switch of an additional address of the store, which makes it refuse all calls.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<AtomicBool>);
 
@@ -510,7 +511,7 @@
         cell
     }
 
-    /// A client of the store, as of the adapter.
+    /// A client of the store, through the adapter in `platform/`.
     pub fn store_client(&self) -> Arc<dyn ports::Store> {
         Arc::new(RowStore::new(ConnPool::new(Clock::real()), self.store))
     }
@@ -618,7 +619,7 @@
         self.nodes[n] = Some((trigger, task));
     }
 
-    /// Tells an instance to stop and waits for its end.
+    /// Signals an instance to stop, and waits until it has stopped.
     pub async fn stop(&mut self, n: usize) {
         if let Some((mut trigger, task)) = self.nodes[n].take() {
             trigger.fire();
@@ -679,15 +680,15 @@
         body["state"].as_str().map_or_else(|| status.to_string(), str::to_string)
     }
 
-    /// Waits until `ok` returns true, at most 10 s.
-    pub async fn wait<F, Fut>(&self, what: &str, ok: F)
+    /// Waits until `ok` returns true, at most 10 s; `condition` describes it in the failure.
+    pub async fn wait<F, Fut>(&self, condition: &str, ok: F)
     where
         F: Fn() -> Fut,
         Fut: std::future::Future<Output = bool>,
     {
         let end = Instant::now() + Duration::from_secs(10);
         while !ok().await {
-            assert!(Instant::now() < end, "timed out: {what}");
+            assert!(Instant::now() < end, "timed out: {condition}");
             task::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/tests/control_advice_queues.rs
+++ b/tests/control_advice_queues.rs
@@ -18,7 +18,7 @@
 /// Service time of an advice request for a lookup, ms.
 const LOOKUP_MS: f64 = 10.0;
 
-/// Longest time to its answer with which a request is accepted, ms.
+/// Longest expected time to its answer with which a request is accepted, ms.
 const MAX_ANSWER_MS: u64 = 2_500;
 
 /// A service that answers the calls of its caller one after the other.
@@ -42,7 +42,7 @@
 
 /// Guards against gangs that don't start for half a minute in an empty cell, while all other
 /// requests are refused. With few instances linked after a power loss, each queue was filled with
-/// 30 requests of 767 ms, whose answers came after up to 23 s, when the reserved capacity was gone:
+/// 30 requests of 767 ms. Their answers came after up to 23 s, when the reservations had expired:
 /// a queue was limited by the number of its requests, not by their service time.
 #[async_std::test]
 async fn a_request_that_would_be_answered_too_late_is_refused_at_once() {
@@ -51,9 +51,9 @@
     let began = Instant::now();
     let requests = (0..20).map(|n| server.request(step(n), Vec::new(), GANG_MS));
     let answers = join_all(requests).await;
-    let given = answers.iter().filter(|a| a.is_ok()).count();
+    let answered = answers.iter().filter(|a| a.is_ok()).count();
     let refused = answers.iter().filter(|a| **a == Err(AdviceError::Busy)).count();
-    assert_eq!((given, refused), (3, 17));
+    assert_eq!((answered, refused), (3, 17));
     assert!(began.elapsed() < Duration::from_millis(MAX_ANSWER_MS + 300), "{:?}", began.elapsed());
 }
 
--- a/tests/control_election.rs
+++ b/tests/control_election.rs
@@ -21,8 +21,7 @@
 /// When the instance of the test has read what it needs to lead, ms.
 const ABLE_AT_MS: u64 = 330;
 
-/// Time in which it must become leader after that, ms: the delay between candidates and some
-/// margin.
+/// Time in which it must become leader after that, ms: the delay between candidates and a margin.
 const ELECTED_MS: u64 = 250;
 
 /// Fencing token of the term that is won.
@@ -109,9 +108,9 @@
     matches!(store.commit(&txn, 1_000).await, Ok(Commit::Done(_)))
 }
 
-/// Guards against a task that runs twice after a takeover. A replaced leader that did not know it
-/// yet stored a placement after its successor had read that partition, and started the task on a
-/// runner that the successor could not reach: its transaction checked no row written by the
+/// Guards against a task that runs twice after a takeover. A leader that had not noticed its
+/// replacement stored a placement after its successor had read that partition, and started the task
+/// on a runner that the successor could not reach: its transaction checked no row written by the
 /// successor.
 #[async_std::test]
 async fn a_new_leader_fences_every_partition_against_the_last_one() {
--- a/tests/control_leader.rs
+++ b/tests/control_leader.rs
@@ -1,4 +1,5 @@
-//! The leader beside the other tasks of its process.
+//! Fairness of the leader under load: towards the other tasks of its process, and between planning
+//! and events.
 
 use currantgw::control::election::{Election, Term};
 use currantgw::control::engine::Rules;
@@ -31,13 +32,14 @@
 /// Longest time that one poll may block the process: a link times out after 1.2 s.
 const MAX_POLL: Duration = Duration::from_millis(250);
 
-/// Version of all rows and answers of the store.
+/// Version of all answers of the store.
 const VERSION: u64 = 7;
 
 /// Number of cancellations of unknown jobs, which are cheap events.
 const CHEAP_EVENTS: u64 = 300_000;
 
-/// Number of jobs that wait for runners while there are none: planning takes many times 8 ms.
+/// Number of jobs that wait for runners while there are none: planning takes many times the 8 ms of
+/// a round.
 const WAITING_JOBS: u64 = 6_000;
 
 /// A store that holds only a configuration and answers at once.
--- a/tests/control_links.rs
+++ b/tests/control_links.rs
@@ -23,7 +23,7 @@
 use std::time::{Duration, Instant};
 use tide::{Request, Response};
 
-/// Time in which an instance that knows the leader must open its link, ms, with some margin.
+/// Time in which a starting instance must open its link to the leader, ms, with a margin.
 const LINK_MS: u64 = 4_000;
 
 /// Delay of a read that gets no answer, ms: longer than any timeout of a call to the store.
@@ -111,13 +111,13 @@
     (trigger, task::spawn(run))
 }
 
-/// Guards against missing links after a power loss of all instances: the leader had 8 connections
+/// Guards against missing links after a power loss of all instances. The leader had 8 connections
 /// to the advice service instead of 29, refused requests for 37 s, and left gangs unplaced while
-/// nearly all capacity was free; writes of instances whose calls the store refused were not
-/// relayed. An instance on a small link read the jobs for many seconds, and didn't poll the
-/// election, from which it learns the leader's address, before it had read them.
+/// nearly all capacity was free. Writes of instances whose calls the store refused were not
+/// relayed. An instance on a small link read the jobs for many seconds. It didn't poll the
+/// election, and so didn't have the leader's address, before it had read them.
 #[async_std::test]
-async fn an_instance_that_is_still_reading_the_jobs_links_to_the_scheduler() {
+async fn an_instance_that_is_still_reading_the_jobs_links_to_the_leader() {
     let links = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let store = free_addr();
     let served = Store::with_leader(links.local_addr().unwrap()).serve(store);
--- a/tests/control_mirror.rs
+++ b/tests/control_mirror.rs
@@ -279,8 +279,8 @@
     assert!(store.feeds.load(Ordering::Relaxed) >= 2);
 }
 
-/// If the changes are more than the link transfers within a read's timeout, the feed is not polled
-/// again, which would return even more, but the table is read in slices.
+/// If the changes are more than the link transfers within a read's timeout, the table is read in
+/// slices. Another poll of the feed would return even more.
 #[async_std::test]
 async fn a_feed_answer_that_is_too_large_is_replaced_by_a_full_read() {
     let ids = one_per_partition();
--- a/tests/control_path.rs
+++ b/tests/control_path.rs
@@ -130,8 +130,8 @@
 }
 
 /// Guards against a job that runs although its submission was refused as not stored. If the store
-/// executes a write and its answer is lost, the outcome is unknown, and the caller must not be told
-/// that the job will never run.
+/// executes a write and its answer is lost, the outcome is unknown: the answer to the caller must
+/// not be that the job will never run.
 #[async_std::test]
 async fn a_submission_without_an_answer_has_an_unknown_outcome() {
     let cell = Cell::start(1, 1, 100).await;
@@ -144,7 +144,7 @@
 }
 
 /// While the store is known to be unavailable, submissions are refused at once, with the time after
-/// which to retry. They are accepted again when it returns.
+/// which to retry. They are accepted again when it recovers.
 #[async_std::test]
 async fn refusals_are_quick_while_the_store_is_unavailable() {
     let cell = Cell::start(2, 1, 100).await;
@@ -194,7 +194,7 @@
         }
         task::sleep(Duration::from_millis(37)).await;
     }
-    // Callers have 3 s and few attempts, and are told to spread them.
+    // Callers have 3 s and few attempts; `Retry-After` makes them spread these.
     let job = r#"{"spec": "s", "phases": [{"count": 1, "cpu": 1000}]}"#;
     for n in 0..3 {
         let retry_s = cell.retry_after(n, "/plain/00000000000000a3", job).await;
@@ -264,7 +264,7 @@
     cell.end().await;
 }
 
-/// A leader that is told to stop steps down and answers requests in flight, and tasks that run
+/// A leader that is signalled to stop steps down and answers requests in flight. Tasks that run
 /// meanwhile are started only once.
 #[async_std::test]
 async fn a_leader_that_stops_steps_down() {
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -23,10 +23,10 @@
 /// Number of jobs that wait in the store.
 const JOBS: u64 = 1_500;
 
-/// Payload of each, bytes; its row is some 1,600 bytes on the wire.
+/// Payload of each job, bytes; its row is about 1,600 bytes on the wire.
 const PAYLOAD: usize = 1_000;
 
-/// Size of all of them on the wire, bytes.
+/// Size of all jobs on the wire, bytes.
 const TABLE: usize = JOBS as usize * 1_600;
 
 /// Share of a processor of a small instance.
@@ -92,7 +92,7 @@
     cell.end().await;
 }
 
-/// A small instance becomes leader once all larger instances are gone.
+/// A small instance becomes leader once all larger instances have stopped.
 #[async_std::test]
 async fn a_small_instance_becomes_leader_when_no_other_is_left() {
     let mut cell = Cell::start(1, 1, 50).await;
--- a/tests/control_views.rs
+++ b/tests/control_views.rs
@@ -30,10 +30,10 @@
 /// Number of jobs that wait in the store.
 const JOBS: u64 = 1_500;
 
-/// Payload of each, bytes; its row is some 1,600 bytes on the wire.
+/// Payload of each job, bytes; its row is about 1,600 bytes on the wire.
 const PAYLOAD: usize = 1_000;
 
-/// Size of all of them on the wire, bytes.
+/// Size of all jobs on the wire, bytes.
 const TABLE: usize = JOBS as usize * 1_600;
 
 /// Ids spread over all partitions.
@@ -45,15 +45,15 @@
 async fn backlog() -> Cell {
     let cell = Cell::start(1, 0, 0).await;
     cell.platform.store_jobs("plain", &ids(JOBS), PAYLOAD);
-    let known = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
-    cell.wait("all jobs are counted", known).await;
+    let all_counted = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
+    cell.wait("all jobs are counted", all_counted).await;
     cell
 }
 
 /// Guards against an answer that 2 jobs of a queue wait while thousands have waited for seconds. A
 /// restarted instance, whose link takes seconds to read all jobs, accepted two new jobs. It
-/// answered counts as soon as it had the catalogue, from the jobs that it had so far: its log had
-/// no line that the jobs table was read, and the count was its own two jobs.
+/// answered counts as soon as it had the catalogue, from the jobs that it had so far. It had not
+/// logged `table read` for the jobs, and the count was its own two jobs.
 #[async_std::test]
 async fn no_count_is_given_before_all_jobs_are_read() {
     let mut cell = backlog().await;
@@ -82,8 +82,8 @@
     assert_eq!(status, 503, "{body}");
     assert!(sent.elapsed() < Duration::from_millis(300), "{:?}", sent.elapsed());
     cell.platform.set_store_mode(StoreMode::Healthy);
-    let known = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
-    cell.wait("counted again", known).await;
+    let all_counted = || async { cell.call(0, "GET", "/plain/", "").await.1["pending"] == JOBS };
+    cell.wait("counted again", all_counted).await;
     cell.end().await;
 }
 
@@ -153,8 +153,8 @@
     cell.end().await;
 }
 
-/// Guards against an instance that is killed at the end of its grace period. Told to stop before it
-/// had read the progress of jobs, it didn't check for the stop until then.
+/// Guards against an instance that is killed at the end of its grace period. It was signalled to
+/// stop before it had read the progress of jobs, and didn't check for the signal until it had.
 #[async_std::test]
 async fn an_instance_that_still_reads_stops_when_told() {
     let mut cell = backlog().await;
