--- a/src/control/crashes.rs
+++ b/src/control/crashes.rs
@@ -11,12 +11,12 @@
 use super::engine::RunnerKey;
 use super::model::Attempt;
 
-/// Number of losses that make a crash loop whatever their chance. The platform allows two more
-/// starts after the third.
+/// Number of losses that make a crash loop whatever their chance: the platform allows two more
+/// starts after the third loss.
 const MAX_LOSSES: u32 = 5;
 
-/// From this number of losses on, each run that ends otherwise than done counts as a loss, since it
-/// has used up a start.
+/// From this number of losses on, each run that does not complete its work counts as a loss, since
+/// it has used up a start.
 const COUNT_ALL_FROM: u32 = 3;
 
 /// Minimum number of losses of a crash loop.
@@ -32,8 +32,8 @@
 /// Half-life of losses and run times in the loss rate, ms.
 const HALF_LIFE_MS: f64 = 30_000.0;
 
-/// Resolution of the start of a run and of the loss of its runner, ms: answers wait for a planning
-/// round.
+/// Resolution of the times at which a run starts and its runner is lost, ms: the responses of
+/// runners wait for a planning round.
 const RESOLUTION_MS: u64 = 50;
 
 /// Prior of the loss rate: one loss in this much run time, ms.
@@ -111,7 +111,7 @@
         self.incarnation = Some(incarnation);
     }
 
-    /// Records an attempt that ended otherwise than done.
+    /// Records an attempt that ended without completing its work.
     pub fn record_end(&mut self, attempt: Attempt) {
         if self.count >= COUNT_ALL_FROM {
             self.count += 1;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Takes a loss back: a completion of the attempt was reported later.
+    /// Reverts the loss of an attempt whose completion was reported later.
     pub fn withdraw(&mut self, attempt: Attempt) {
         if self.count > 0 && self.last == attempt {
             *self = Self::with_count(self.count - 1);
@@ -136,7 +136,7 @@
         self.incarnation.is_some() && self.incarnation == other.incarnation
     }
 
-    /// Whether it has been lost more than once.
+    /// Whether the task has been lost more than once.
     pub fn repeated(&self) -> bool {
         self.count >= MIN_LOSSES
     }
--- a/src/control/model.rs
+++ b/src/control/model.rs
@@ -29,7 +29,7 @@
 
 /// Maximum of each resource of a task, thousandths of a core and MiB: a thousand times the largest
 /// machines there are. The sum over a million waiting jobs stays within 64 bits; without a bound
-/// one job with an invalid value would spoil the sum that all others are planned by.
+/// one job with an invalid value would corrupt the sum, which the plan for all others depends on.
 pub const MAX_NEED: u64 = 1 << 32;
 
 /// A job's id, chosen by its caller.
@@ -64,9 +64,9 @@
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Occurrence, from 0.
+    /// Index of the occurrence, from 0.
     pub occurrence: u32,
-    /// Step, from 0.
+    /// Index of the step, from 0.
     pub step: u32,
 }
 
@@ -363,7 +363,7 @@
     }
 }
 
-/// Cost model of advice requests of a queue, which its policy requires before a start.
+/// Cost model of the advice requests that a queue's policy requires before a start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Approval {
     /// Processing time of a request without runners, ms.
--- a/src/control/place.rs
+++ b/src/control/place.rs
@@ -59,14 +59,14 @@
     pub seed: u64,
 }
 
-/// Sort key of the placement policy among the candidates that fit; lower is better. `left` is what
-/// would remain free.
-fn order(request: &PlacementRequest, index: usize, left: &Resources) -> (u64, u64) {
+/// Sort key of the placement policy among the candidates that fit; lower is better. `remaining` is
+/// the capacity that the task would leave free.
+fn order(request: &PlacementRequest, index: usize, remaining: &Resources) -> (u64, u64) {
     match request.how {
-        Placement::BestFit => (left.cpu, left.mem),
+        Placement::BestFit => (remaining.cpu, remaining.mem),
         Placement::FirstFit => (0, 0),
         Placement::Random => {
-            let bytes = [request.seed, index as u64, left.cpu].map(u64::to_le_bytes).concat();
+            let bytes = [request.seed, index as u64, remaining.cpu].map(u64::to_le_bytes).concat();
             (xxh3::xxh3_64(&bytes), 0)
         }
     }
@@ -75,20 +75,20 @@
 /// Exposure of a task to suspects on a candidate; lower is better. A run beside a suspect that has
 /// lost its runner more than once is likely to be lost, and two suspects that are lost together
 /// cannot be told apart.
-fn exposure<K>(request: &PlacementRequest, p: &Candidate<K>) -> (bool, u32) {
-    (p.repeat_suspect, if request.suspect { p.suspects } else { 0 })
+fn exposure<K>(request: &PlacementRequest, c: &Candidate<K>) -> (bool, u32) {
+    (c.repeat_suspect, if request.suspect { c.suspects } else { 0 })
 }
 
-/// Number of further tasks that fit.
-pub fn slots<K>(p: &Candidate<K>, need: &Resources) -> u32 {
-    let by = |free: u64, each: u64| free.checked_div(each).unwrap_or(u64::from(u32::MAX));
-    let n = by(p.free.cpu, need.cpu).min(by(p.free.mem, need.mem)).min(by(p.free.acc, need.acc));
-    p.limit.min(u32::try_from(n).unwrap_or(u32::MAX))
+/// Number of further tasks of the step that fit on a candidate.
+pub fn slots<K>(c: &Candidate<K>, need: &Resources) -> u32 {
+    let fit = |free: u64, each: u64| free.checked_div(each).unwrap_or(u64::from(u32::MAX));
+    let n = fit(c.free.cpu, need.cpu).min(fit(c.free.mem, need.mem)).min(fit(c.free.acc, need.acc));
+    c.limit.min(u32::try_from(n).unwrap_or(u32::MAX))
 }
 
 /// Number of tasks of the step that fit on all of `candidates` together.
 pub fn capacity<K>(candidates: &[Candidate<K>], need: &Resources) -> u64 {
-    candidates.iter().map(|p| u64::from(slots(p, need))).sum()
+    candidates.iter().map(|c| u64::from(slots(c, need))).sum()
 }
 
 /// Chooses the best runner for one task and subtracts its resources there. The order of preference
@@ -100,13 +100,13 @@
     avoid: &BTreeSet<K>,
     failed: bool,
 ) -> Option<K> {
-    let fits = |(_, p): &(usize, &mut Candidate<K>)| slots(p, &request.need) > 0;
-    let (_, best) = candidates.iter_mut().enumerate().filter(fits).min_by_key(|(index, p)| {
-        let far = request.rack.is_some_and(|r| r != p.rack);
-        let left = p.free.sub(&request.need);
-        let unproven = failed && !p.proven;
-        let order = order(request, *index, &left);
-        (avoid.contains(&p.key), unproven, exposure(request, p), far, order, p.key)
+    let fits = |(_, c): &(usize, &mut Candidate<K>)| slots(c, &request.need) > 0;
+    let (_, best) = candidates.iter_mut().enumerate().filter(fits).min_by_key(|(index, c)| {
+        let far = request.rack.is_some_and(|r| r != c.rack);
+        let remaining = c.free.sub(&request.need);
+        let unproven = failed && !c.proven;
+        let order = order(request, *index, &remaining);
+        (avoid.contains(&c.key), unproven, exposure(request, c), far, order, c.key)
     })?;
     best.suspects += u32::from(request.suspect);
     best.free = best.free.sub(&request.need);
@@ -124,7 +124,7 @@
 ) -> Option<Vec<K>> {
     if request.one_rack {
         if let Some(rack) = one_rack(candidates, request, count) {
-            candidates.retain(|p| p.rack == rack);
+            candidates.retain(|c| c.rack == rack);
         }
     }
     if capacity(candidates, &request.need) < count as u64 {
@@ -138,10 +138,10 @@
     request: &PlacementRequest,
     count: usize,
 ) -> Option<u32> {
-    let racks: BTreeSet<u32> = candidates.iter().map(|p| p.rack).collect();
+    let racks: BTreeSet<u32> = candidates.iter().map(|c| c.rack).collect();
     let rack_slots = |rack: u32| -> u64 {
-        let here = candidates.iter().filter(|p| p.rack == rack);
-        here.map(|p| u64::from(slots(p, &request.need))).sum()
+        let here = candidates.iter().filter(|c| c.rack == rack);
+        here.map(|c| u64::from(slots(c, &request.need))).sum()
     };
     let large_enough = racks.into_iter().filter(|&r| rack_slots(r) >= count as u64);
     large_enough.min_by_key(|&r| (request.rack != Some(r), rack_slots(r)))
--- a/src/control/ports.rs
+++ b/src/control/ports.rs
@@ -289,11 +289,11 @@
 #[tide::utils::async_trait]
 pub trait Runners: Send + Sync + 'static {
     /// Starts a task; repeating an order that was carried out is not an error.
-    async fn start(&self, to: &RunnerCall, s: &StartOrder) -> Result<u64, Refusal>;
+    async fn start(&self, to: &RunnerCall, order: &StartOrder) -> Result<u64, Refusal>;
     /// Stops a task; if it has not started, its start is refused from then on.
-    async fn stop(&self, to: &RunnerCall, o: &StopOrder) -> Result<u64, Refusal>;
+    async fn stop(&self, to: &RunnerCall, order: &StopOrder) -> Result<u64, Refusal>;
     /// Extends the lease and returns the active runs and completions.
-    async fn poll(&self, to: &RunnerCall, h: &PollRequest) -> Result<Report, Refusal>;
+    async fn poll(&self, to: &RunnerCall, request: &PollRequest) -> Result<Report, Refusal>;
 }
 
 /// Permission to run a step on a runner.
--- a/src/control/preemption.rs
+++ b/src/control/preemption.rs
@@ -73,8 +73,8 @@
     }
 }
 
-/// Places all `count` members so that each step stops as little processor capacity as possible;
-/// none if they do not fit.
+/// Places all `count` members one by one, each on the runner where its victims use the least
+/// processor capacity; none if not all of them fit.
 pub fn plan<K: Copy + Ord, T: Copy + Ord>(
     mut runners: Vec<RunnerCapacity<K, T>>,
     need: &Resources,
@@ -82,13 +82,13 @@
 ) -> Option<Plan<K, T>> {
     let mut out = Plan { keys: Vec::with_capacity(count), stops: Vec::new() };
     for _ in 0..count {
-        let cost = |s: &RunnerCapacity<K, T>| {
-            let picked = s.victims_for(need)?;
-            let stopped: u64 = picked.iter().map(|&i| s.victims[i].need.cpu).sum();
-            Some((stopped, s.free.cpu, s.key, picked))
+        let cost = |r: &RunnerCapacity<K, T>| {
+            let picked = r.victims_for(need)?;
+            let stopped: u64 = picked.iter().map(|&i| r.victims[i].need.cpu).sum();
+            Some((stopped, r.free.cpu, r.key, picked))
         };
-        let available = runners.iter().enumerate().filter(|(_, s)| s.limit > 0);
-        let candidates = available.filter_map(|(i, s)| Some((cost(s)?, i)));
+        let available = runners.iter().enumerate().filter(|(_, r)| r.limit > 0);
+        let candidates = available.filter_map(|(i, r)| Some((cost(r)?, i)));
         let ((_, _, key, picked), i) = candidates.min()?;
         runners[i].place_member(need, picked, &mut out.stops);
         out.keys.push(key);
--- a/src/control/queue.rs
+++ b/src/control/queue.rs
@@ -40,15 +40,16 @@
 }
 
 /// Ranks a step at `now`, Unix ms.
-pub fn rank(c: &RankInput, now: u64) -> Rank {
-    let (due, no_value_at) = (c.begin + c.objective, c.begin + NO_VALUE_FACTOR * c.objective);
-    let end = now + c.chain;
+pub fn rank(input: &RankInput, now: u64) -> Rank {
+    let (due, no_value_at) =
+        (input.begin + input.objective, input.begin + NO_VALUE_FACTOR * input.objective);
+    let end = now + input.chain;
     let late = end > due;
     let deadline = if late { no_value_at } else { due };
     Rank {
         no_value: end > no_value_at,
-        non_urgent: c.priority > 0,
-        latest_start: deadline.saturating_sub(c.chain + c.capacity_wait),
+        non_urgent: input.priority > 0,
+        latest_start: deadline.saturating_sub(input.chain + input.capacity_wait),
         late,
     }
 }
--- a/src/control/settings.rs
+++ b/src/control/settings.rs
@@ -36,7 +36,7 @@
     pub hold_max_ms: u64,
     /// Time between a stop order and the kill of a task, ms; at least 1,000.
     pub grace_ms: u64,
-    /// Retention of ended jobs, in which their state can be queried, ms; at least 1,000.
+    /// Time for which an ended job is kept and its state can be queried, ms; at least 1,000.
     pub keep_ms: u64,
     /// Placement policy: `best-fit`, or `first-fit` or `random` for comparison.
     #[serde(default)]
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -1,11 +1,12 @@
 //! Health of the store as seen by this process, from the outcome of every call.
 //!
-//! A write that is sent to an unresponsive store ends with an unknown outcome. A caller with an
-//! unknown outcome must not be answered that its job never runs, so it loses a try and the time of
-//! a timeout. A failed read reveals an outage only after its own timeout, and a successful read
-//! reveals the end of the outage only to its caller. Therefore every call of any part of the
-//! process is recorded in [`StoreHealth`]: a response marks the store as available at once, and an
-//! overdue response shows within [`STALL_HOLD_MS`].
+//! A write that is sent to an unresponsive store ends with an unknown outcome. Its caller must not
+//! be answered that the job never runs, and so loses a try and the time of a timeout. A failed
+//! read reveals an outage only after its own timeout, and a successful read reveals the end of the
+//! outage only to its caller.
+//!
+//! Therefore every call of any part of the process is recorded in [`StoreHealth`]: a response marks
+//! the store as available at once, and an overdue response shows within [`STALL_HOLD_MS`].
 
 use super::ports::{Changes, Commit, CommitError, Page, ReadError, Store, Txn};
 use crate::kernel::clock::Clock;
@@ -33,7 +34,7 @@
     /// Calls under way, by id: when a response is due at the earliest, local ms.
     awaited: BTreeMap<u64, u64>,
     /// Time of the first failed call since the last served one, local ms.
-    failing: Option<u64>,
+    failing_since: Option<u64>,
     next_id: u64,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl StoreHealth {
-    /// State before the first response.
+    /// Creates the state before the first response.
     pub fn new(clock: Clock) -> Self {
         Self { clock, state: Mutex::default() }
     }
@@ -61,7 +62,7 @@
         let now = self.clock.mono();
         let st = self.state.lock().unwrap();
         let awaited = st.awaited.values().copied().filter(|&due| due >= st.last_served);
-        let earliest = awaited.chain(st.failing).min();
+        let earliest = awaited.chain(st.failing_since).min();
         earliest.map_or(0, |since| now.saturating_sub(since))
     }
 
@@ -69,7 +70,7 @@
     /// a response so far do not count.
     pub fn failing_ms(&self) -> u64 {
         let now = self.clock.mono();
-        self.state.lock().unwrap().failing.map_or(0, |since| now.saturating_sub(since))
+        self.state.lock().unwrap().failing_since.map_or(0, |since| now.saturating_sub(since))
     }
 
     /// Whether the store is considered unavailable to this process.
@@ -96,16 +97,16 @@
 }
 
 impl Call<'_> {
-    /// Records the end of the call; `served` if the store carried it out or gave a permanent reason
-    /// against it.
+    /// Records the end of the call; `served` if the store carried it out or rejected it
+    /// permanently.
     pub fn ended(self, served: bool) {
         let now = self.store_health.clock.mono();
         let mut st = self.store_health.state.lock().unwrap();
         if served {
             st.last_served = now;
-            st.failing = None;
+            st.failing_since = None;
         } else {
-            st.failing.get_or_insert(now);
+            st.failing_since.get_or_insert(now);
         }
     }
 }
@@ -129,7 +130,7 @@
     }
 }
 
-/// Whether the store served a read: a history that is gone is a valid response, too.
+/// Whether the store served a read: that changes are no longer available is a valid response, too.
 fn served<T>(res: &Result<T, ReadError>) -> bool {
     matches!(res, Ok(_) | Err(ReadError::HistoryGone))
 }
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -2,8 +2,8 @@
 //!
 //! Each partition of the jobs table has one writer with one transaction under way; requests that
 //! arrive meanwhile go into the next transaction. A store that answers in 240 ms then costs latency
-//! and not throughput. An instance that cannot reach the store relays its writes to the instance of
-//! the leader.
+//! and not throughput. An instance that cannot reach the store relays its writes to the leader's
+//! instance.
 
 use super::health::Dependency;
 use super::links::client::LinkClient;
@@ -63,7 +63,8 @@
     job: JobId,
     /// The job's row; none for a cancellation.
     row: Option<Vec<u8>>,
-    until: u64,
+    /// Local ms.
+    deadline: u64,
     /// The outcome of an earlier try is unknown.
     outcome_unknown: bool,
     /// Received from another instance; it must not be relayed again.
@@ -80,7 +81,7 @@
     }
 }
 
-/// Sends the outcome to all requests of a batch. A caller that has gone away is ignored.
+/// Sends the outcome to all requests of a batch. A caller that no longer waits is ignored.
 fn answer_all(batch: Vec<Request>, out: WriteOutcome) {
     for r in batch {
         let _ = r.done.send(out);
@@ -89,11 +90,11 @@
 
 /// Submission writer of one instance: a queue and a [`Writer`] for each partition.
 pub struct SubmissionWriter {
-    parts: Vec<Sender<Request>>,
+    queues: Vec<Sender<Request>>,
     /// Health of each partition of the store. Some partitions can be unavailable while others
     /// serve; a single dependency for all of them would be lost and regained several times a
     /// second.
-    writes: Vec<Arc<Dependency>>,
+    dependencies: Vec<Arc<Dependency>>,
     clock: Clock,
 }
 
@@ -106,25 +107,25 @@
         link: Arc<LinkClient>,
         clock: Clock,
     ) -> (Self, Vec<Writer>) {
-        let mut parts = Vec::new();
-        let mut all_writes = Vec::new();
+        let mut queues = Vec::new();
+        let mut all_dependencies = Vec::new();
         let mut writers = Vec::new();
         for part in 0..rows::JOB_PARTITIONS {
             let (tx, rx) = channel::bounded(QUEUE_CAPACITY);
-            parts.push(tx);
+            queues.push(tx);
             let name = format!("store, submissions, part {}", rows::partition_name(part));
-            let writes = Arc::new(Dependency::new(name, clock.clone()));
-            all_writes.push(writes.clone());
+            let dependency = Arc::new(Dependency::new(name, clock.clone()));
+            all_dependencies.push(dependency.clone());
             let (store, mirror, link) = (store.clone(), mirror.clone(), link.clone());
             let (store_health, clock) = (store_health.clone(), clock.clone());
-            writers.push(Writer { rx, store, store_health, mirror, link, writes, clock });
+            writers.push(Writer { rx, store, store_health, mirror, link, dependency, clock });
         }
-        (Self { parts, writes: all_writes, clock }, writers)
+        (Self { queues, dependencies: all_dependencies, clock }, writers)
     }
 
     /// Partitions of the store that accept no submissions at present, for the state dump.
     pub fn lost(&self) -> Vec<&str> {
-        self.writes.iter().filter(|w| w.lost()).map(|w| w.name()).collect()
+        self.dependencies.iter().filter(|d| d.lost()).map(|d| d.name()).collect()
     }
 
     /// Stores a job if its id is new; gives up after `ms`.
@@ -150,10 +151,10 @@
         relayed: bool,
     ) -> WriteOutcome {
         let (done, out) = oneshot::channel();
-        let until = self.clock.mono() + ms;
-        let req = Request { job, row, until, outcome_unknown: false, relayed, done };
-        let part = &self.parts[rows::job_partition_index(job) as usize];
-        if part.try_send(req).is_err() {
+        let deadline = self.clock.mono() + ms;
+        let req = Request { job, row, deadline, outcome_unknown: false, relayed, done };
+        let queue = &self.queues[rows::job_partition_index(job) as usize];
+        if queue.try_send(req).is_err() {
             log::warn!(job:% = job; "submission queue is full");
             return WriteOutcome::NotStored;
         }
@@ -168,7 +169,7 @@
     store_health: Arc<StoreHealth>,
     mirror: Arc<Mirror>,
     link: Arc<LinkClient>,
-    writes: Arc<Dependency>,
+    dependency: Arc<Dependency>,
     clock: Clock,
 }
 
@@ -221,7 +222,8 @@
     /// Answers the requests that are past their deadline and returns the others.
     fn expire(&self, batch: Vec<Request>) -> Vec<Request> {
         let now = self.clock.mono();
-        let (remaining, expired): (Vec<_>, Vec<_>) = batch.into_iter().partition(|r| r.until > now);
+        let (remaining, expired): (Vec<_>, Vec<_>) =
+            batch.into_iter().partition(|r| r.deadline > now);
         for r in expired {
             let out =
                 if r.outcome_unknown { WriteOutcome::Unknown } else { WriteOutcome::NotStored };
@@ -266,7 +268,7 @@
         metrics::histogram!("control_intake_commit_seconds").record(ms as f64 / 1000.0);
         match out {
             Ok(Commit::Done(_)) => {
-                self.writes.record_success();
+                self.dependency.record_success();
                 answer_all(batch, WriteOutcome::Stored);
                 Vec::new()
             }
@@ -282,7 +284,7 @@
                 Vec::new()
             }
             Err(e) => {
-                self.writes.record_failure(&e);
+                self.dependency.record_failure(&e);
                 let outcome_unknown = !matches!(e, CommitError::NotDone(_));
                 self.retry_or_relay(batch, outcome_unknown).await
             }
