--- a/benches/planner.rs
+++ b/benches/planner.rs
@@ -85,7 +85,7 @@
 fn check_small_load() {
     let mut load = Load::small_runners(12).times("smoke", 0.25);
     load.seconds = 3.0;
-    let out = load::play(&load, Placement::BestFit, 1);
+    let out = load::simulate(&load, Placement::BestFit, 1);
     assert!(out.starts > 0 && out.worth > 0.5, "{out:?}");
 }
 
@@ -101,7 +101,7 @@
     for load in loads().into_iter().filter(|l| l.name.contains(&name_part)) {
         let all = [Placement::BestFit, Placement::FirstFit, Placement::Random];
         for policy in all.into_iter().take(policies) {
-            let all: Vec<Outcome> = (0..seeds).map(|s| load::play(&load, policy, s)).collect();
+            let all: Vec<Outcome> = (0..seeds).map(|s| load::simulate(&load, policy, s)).collect();
             print_outcomes(&load, policy, &all);
             if policy == Placement::BestFit {
                 plot(&all[0].used);
--- a/tests/common/load.rs
+++ b/tests/common/load.rs
@@ -61,7 +61,7 @@
     /// When it begins, s.
     pub from_s: f64,
     /// Factor on the rate.
-    pub by: f64,
+    pub factor: f64,
 }
 
 /// Duration of a burst, s.
@@ -292,10 +292,12 @@
     }
 
     /// The same load with bursts of lookups and of gangs, as on the heaviest days.
-    pub fn heavy(mut self, name: &'static str, by: f64) -> Self {
+    pub fn heavy(mut self, name: &'static str, factor: f64) -> Self {
         let (lookups, gangs) = (2, 0);
-        self.bursts =
-            vec![Burst { kind: lookups, from_s: 5.0, by }, Burst { kind: gangs, from_s: 19.0, by }];
+        self.bursts = vec![
+            Burst { kind: lookups, from_s: 5.0, factor },
+            Burst { kind: gangs, from_s: 19.0, factor },
+        ];
         self.name = name;
         self
     }
@@ -308,19 +310,19 @@
     }
 
     fn queues(&self) -> Vec<Queue> {
-        let of = |k: &QueueLoad| {
+        let to_queue = |k: &QueueLoad| {
             let (base_ms, each_ms) = k.advice_ms;
             let approval = Approval { base_ms, each_ms, valid_ms: 2_000 };
             let slack = k.slack;
             let latency_ms = k.latency_ms;
             Queue { slack, latency_ms, ..queue(k.name, k.priority, 3, Some(approval)) }
         };
-        self.kinds.iter().map(of).collect()
+        self.kinds.iter().map(to_queue).collect()
     }
 
     fn rate(&self, kind: usize, at_s: f64) -> f64 {
         let inside = |b: &&Burst| b.kind == kind && (b.from_s..b.from_s + BURST_S).contains(&at_s);
-        let burst = self.bursts.iter().find(inside).map_or(1.0, |b| b.by);
+        let burst = self.bursts.iter().find(inside).map_or(1.0, |b| b.factor);
         self.kinds[kind].per_s * self.times * burst
     }
 }
@@ -400,12 +402,12 @@
 
 /// Real work of a job, core-seconds.
 fn work_of(steps: &[Step], work_percent: u64) -> f64 {
-    let of = |s: &Step| u64::from(s.count) * s.need.cpu * s.estimate;
-    steps.iter().map(of).sum::<u64>() as f64 * work_percent as f64 / 1e8
+    let work = |s: &Step| u64::from(s.count) * s.need.cpu * s.estimate;
+    steps.iter().map(work).sum::<u64>() as f64 * work_percent as f64 / 1e8
 }
 
 /// Runs `load` with the given placement policy.
-pub fn play(load: &Load, placement: Placement, seed: u64) -> Outcome {
+pub fn simulate(load: &Load, placement: Placement, seed: u64) -> Outcome {
     let rules = Rules { placement, ..RULES };
     let mut cell = Cell::with(rules, load.runners, load.capacity, load.queues(), seed);
     cell.approves = approves;
@@ -443,8 +445,8 @@
         }
         cell.run(tick);
         if (cell.now - begin) % 1_000 < tick {
-            let runs: u64 = cell.runners.iter().map(|r| r.used().cpu).sum();
-            used.push(runs as f64 / total as f64);
+            let in_use: u64 = cell.runners.iter().map(|r| r.used().cpu).sum();
+            used.push(in_use as f64 / total as f64);
         }
     }
     cell.check();
--- a/tests/control_logs.rs
+++ b/tests/control_logs.rs
@@ -43,8 +43,8 @@
     LINES.with(|lines| lines.borrow().get(message).copied().unwrap_or(0))
 }
 
-/// Guards against a takeover whose first log lines are dropped: the begin of the term, the time of
-/// loading, the first starts. A new leader loads all jobs of the last two minutes, 6,500, and no
+/// Guards against a takeover whose first log lines are dropped: the beginning of the term, the time
+/// of loading, the first starts. A new leader loads all jobs of the last two minutes, 6,500, and no
 /// more than 4,000 lines a second are written, so that only jobs that can be placed get a line.
 #[test]
 fn a_new_leader_logs_only_jobs_that_have_not_ended() {
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -49,10 +49,10 @@
     let tight = queue::rank(&rank_input(1, 9_000, 5_000, 3_000), now);
     let loose = queue::rank(&rank_input(2, 8_000, 20_000, 3_000), now);
     let late = queue::rank(&rank_input(1, 5_000, 6_000, 3_000), now);
-    let lost = queue::rank(&rank_input(0, 1_000, 1_200, 600), now);
-    let mut order = [lost, late, loose, tight, urgent];
+    let no_value = queue::rank(&rank_input(0, 1_000, 1_200, 600), now);
+    let mut order = [no_value, late, loose, tight, urgent];
     order.sort();
-    assert_eq!(order, [urgent, tight, late, loose, lost]);
+    assert_eq!(order, [urgent, tight, late, loose, no_value]);
 }
 
 fn candidate(key: u32, cpu: u64, rack: u32) -> Candidate<u32> {
@@ -300,9 +300,9 @@
     assert!(missing.is_empty(), "{missing:?}");
 }
 
-/// Guards against a store sixty times too slow that falls behind a burst of lookups. The placement,
-/// start and completion of each lookup used to be stored one by one; the start need not be stored,
-/// since a new leader learns it from the runner.
+/// Guards against a store sixty times too slow that falls behind a burst of lookups, when the
+/// placement, start and completion of each are stored one by one. The start need not be stored,
+/// since a new leader gets it from the runner.
 #[test]
 fn a_short_lookup_is_stored_twice() {
     let mut cell = Cell::new(1, 28);
@@ -312,8 +312,8 @@
     assert_eq!(cell.writes[&job], 2);
 }
 
-/// A job that goes on is stored as running in time for counts of waiting jobs, which may be 2 s
-/// old.
+/// A job that runs for longer is stored as running in time for counts of waiting jobs, which may be
+/// 2 s old.
 #[test]
 fn a_longer_job_is_shown_as_running_within_its_second() {
     let mut cell = Cell::new(1, 29);
--- a/tests/control_store_health.rs
+++ b/tests/control_store_health.rs
@@ -52,8 +52,8 @@
     assert!(!store_health.unavailable());
 }
 
-/// A response to a feed request is not due before its wait is over, and a call that its caller has
-/// dropped awaits no response.
+/// A response to a feed request is not due before its wait has elapsed, and a call that its caller
+/// has dropped awaits no response.
 #[test]
 fn waits_and_dropped_calls_are_not_overdue() {
     let (clock, store_health) = served_at_10();
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -11,8 +11,8 @@
 use common::load::{self, Load, Outcome};
 use currantgw::control::place::Placement;
 
-fn outcomes(load: &Load, how: Placement) -> Vec<Outcome> {
-    (0..4).map(|seed| load::play(load, how, seed)).collect()
+fn outcomes(load: &Load, policy: Placement) -> Vec<Outcome> {
+    (0..4).map(|seed| load::simulate(load, policy, seed)).collect()
 }
 
 fn mean(all: &[Outcome], f: impl Fn(&Outcome) -> f64) -> f64 {
@@ -25,8 +25,8 @@
 /// free at once, and counted in processors, so that gangs that need memory reserved a third of the
 /// runners they need.
 ///
-/// Mean of four seeds: gangs earned 0.859 of their worth with these reservations and 0.923 with the
-/// present ones (small runners), 0.884 and 0.937 (large ones); non-urgent tasks 1.0 in both cases.
+/// Mean of four seeds: gangs earned 0.859 of their worth with these faults and 0.923 without them
+/// (small runners), 0.884 and 0.937 (large ones); non-urgent tasks 1.0 in both cases.
 #[test]
 fn gangs_get_capacity_in_bursts_and_others_lose_nothing() {
     let load = Load::small_runners(48).heavy("bursts", 1.9);
--- a/tests/platform_decoders.rs
+++ b/tests/platform_decoders.rs
@@ -208,9 +208,9 @@
         for (paths, fraction) in [(&numbers[..], false), (&factors[..], true)] {
             corrupt_each(&good(), paths, |path, case, body| {
                 let read = catalogue::read(body).unwrap();
-                let holds = case == Case::Missing || (fraction && case == Case::Fraction);
-                assert_eq!(read.bad.is_empty(), holds, "{path} {case:?}");
-                assert_eq!(read.catalogue.queues.len(), if holds { 2 } else { 1 });
+                let valid = case == Case::Missing || (fraction && case == Case::Fraction);
+                assert_eq!(read.bad.is_empty(), valid, "{path} {case:?}");
+                assert_eq!(read.catalogue.queues.len(), if valid { 2 } else { 1 });
                 assert!(bounded(&read.catalogue), "{path} {case:?}");
             });
         }
@@ -226,8 +226,8 @@
         corrupt_each(&good(), &["/routes/0"], |_, case, body| {
             let read = catalogue::read(body).unwrap();
             // Truncating the list at the first route leaves none, which is a valid configuration.
-            let left = if case == Case::Missing { (0, 0) } else { (1, 1) };
-            assert_eq!((read.catalogue.queues.len(), read.bad.len()), left, "{case:?}");
+            let counts = if case == Case::Missing { (0, 0) } else { (1, 1) };
+            assert_eq!((read.catalogue.queues.len(), read.bad.len()), counts, "{case:?}");
         });
     }
 
@@ -351,8 +351,8 @@
             assert_eq!(callers::job(body).is_ok(), case == Case::Missing, "{case:?}");
         });
         corrupt_each(&good, &["/phases/1/count", "/phases/1", "/phases"], |path, case, body| {
-            let left = path == "/phases/1" && case == Case::Missing;
-            assert_eq!(callers::job(body).is_ok(), left, "{path} {case:?}");
+            let accepted = path == "/phases/1" && case == Case::Missing;
+            assert_eq!(callers::job(body).is_ok(), accepted, "{path} {case:?}");
         });
     }
 
@@ -443,7 +443,7 @@
         assert_eq!(reports::report(&bytes(&extended)).unwrap().report.active.len(), 1);
     }
 
-    /// Guards against a task that runs twice. A run that a runner does not list is considered gone
+    /// Guards against a task that runs twice. A run that a runner does not list is considered lost
     /// and started on another runner; if an active run that cannot be decoded were left out of the
     /// list, its task would be started again. The whole response is an error, except for runs whose
     /// task is not a valid id.
@@ -512,11 +512,11 @@
         });
         corrupt_each(&good(), &["/finished/0"], |_, case, body| {
             let read = reports::report(body).unwrap();
-            let left = if case == Case::Missing { (0, 0) } else { (1, 1) };
-            assert_eq!((read.report.ends.len(), read.bad.len()), left, "{case:?}");
+            let counts = if case == Case::Missing { (0, 0) } else { (1, 1) };
+            assert_eq!((read.report.ends.len(), read.bad.len()), counts, "{case:?}");
         });
-        for how in ["DONE", "Done", "finished", " done"] {
-            let body = json!({"clock_ms": 1, "finished": [[1, TASK, 1, how, ""]]});
+        for outcome in ["DONE", "Done", "finished", " done"] {
+            let body = json!({"clock_ms": 1, "finished": [[1, TASK, 1, outcome, ""]]});
             assert_eq!(reports::report(&bytes(&body)).unwrap().bad, [BadItem::Outcome]);
         }
     }
@@ -548,8 +548,8 @@
     }
 
     /// Guards against completions that are never processed: those at or below the highest number
-    /// seen count as known, so that a list out of order, or with one number twice, has to be sorted
-    /// and checked first.
+    /// received count as processed, so that a list out of order, or with one number twice, has to
+    /// be sorted and checked first.
     #[test]
     fn completions_are_sorted_by_number() {
         let list = [7, 5, 6, 6, 0].map(|n| json!([n, TASK, n + 1, "failed", ""]));
--- a/tests/unreadable_rows.rs
+++ b/tests/unreadable_rows.rs
@@ -39,14 +39,18 @@
         _: usize,
     ) -> Result<Page, ReadError> {
         let within = |k: &Key| k.key.as_str() >= from && to.is_none_or(|t| k.key.as_str() < t);
-        let of = |r: &&Row| r.key.table == table && r.key.part == part && within(&r.key);
-        Ok(Page { rows: self.rows.iter().filter(of).cloned().collect(), more: false, version: 9 })
+        let matching = |r: &&Row| r.key.table == table && r.key.part == part && within(&r.key);
+        Ok(Page {
+            rows: self.rows.iter().filter(matching).cloned().collect(),
+            more: false,
+            version: 9,
+        })
     }
 
     async fn changes(&self, table: &str, _: u64, _: u64) -> Result<Changes, ReadError> {
-        let of = |c: &Change| matches!(c, Change::Put(r) if r.key.table == table);
+        let of_table = |c: &Change| matches!(c, Change::Put(r) if r.key.table == table);
         let mut feed = self.feed.lock().unwrap();
-        let (rows, rest) = std::mem::take(&mut *feed).into_iter().partition(of);
+        let (rows, rest) = std::mem::take(&mut *feed).into_iter().partition(of_table);
         *feed = rest;
         Ok(Changes { rows, version: 12 })
     }
@@ -138,8 +142,13 @@
     let readable = (0..20).chain((40..).take(bad_progress.len()));
     assert_eq!(ids, readable.map(id).collect());
     for f in &found {
-        let with = f.id < id(20);
-        assert_eq!(f.progress.as_ref().map(|(_, p)| p), with.then(progress).as_ref(), "{}", f.id);
+        let has_progress = f.id < id(20);
+        assert_eq!(
+            f.progress.as_ref().map(|(_, p)| p),
+            has_progress.then(progress).as_ref(),
+            "{}",
+            f.id
+        );
         assert_eq!(*f.row, job());
     }
 }
@@ -170,10 +179,10 @@
     assert_eq!(versions, [Some(2), Some(12)]);
 }
 
-fn refused<T: DeserializeOwned + std::fmt::Debug>(value: &impl Serialize, what: &str) {
+fn refused<T: DeserializeOwned + std::fmt::Debug>(value: &impl Serialize, expected: &str) {
     match rows::decode::<T>(&rows::encode(value)) {
-        Err(BadRow::Unreadable(why)) => assert!(why.contains(what), "{why}"),
-        other => panic!("{what}: {other:?}"),
+        Err(BadRow::Unreadable(why)) => assert!(why.contains(expected), "{why}"),
+        other => panic!("{expected}: {other:?}"),
     }
 }
 
@@ -251,9 +260,9 @@
                 Some(v) => changed[at].1 = v.clone(),
                 None => drop(changed.remove(at)),
             }
-            let got = rows::decode::<T>(&rows::encode(&Value::Map(changed)));
-            let fine = accepts.iter().any(|(n, v)| *n == name && v == value);
-            assert_eq!(got.is_ok(), fine, "{name} {value:?}");
+            let decoded = rows::decode::<T>(&rows::encode(&Value::Map(changed)));
+            let accepted = accepts.iter().any(|(n, v)| *n == name && v == value);
+            assert_eq!(decoded.is_ok(), accepted, "{name} {value:?}");
         }
     }
 }
@@ -265,9 +274,9 @@
     check_fields(&progress(), &[]);
     let links = [("links", None), ("links", Some(Value::Null))];
     check_fields(&leader(), &[text("node"), links[0].clone(), links[1].clone(), ("size", None)]);
-    // Rows of steps that were written before attempts without a known end were stored.
-    let old = (0u32, 0u32, Vec::<TaskRow>::new());
-    assert_eq!(rows::decode::<StepRow>(&rows::encode(&old)).unwrap().3, BTreeSet::new());
+    // Older versions wrote a step without the attempts whose completion was not reported.
+    let older = (0u32, 0u32, Vec::<TaskRow>::new());
+    assert_eq!(rows::decode::<StepRow>(&rows::encode(&older)).unwrap().3, BTreeSet::new());
 }
 
 #[test]
