--- a/src/entry/api.rs
+++ b/src/entry/api.rs
@@ -53,7 +53,7 @@
 }
 
 /// Builds the answer to a failed call of the platform.
-fn platform(e: &PlatformError) -> Response {
+fn platform_error(e: &PlatformError) -> Response {
     let retry = match e {
         PlatformError::Throttled { retry_ms } => *retry_ms,
         _ => 1000,
@@ -62,7 +62,7 @@
 }
 
 /// Reads a JSON body. Malformed JSON or an unknown field leads to a typed 400 and changes nothing.
-async fn body<B: DeserializeOwned>(req: &mut Request<State>) -> Result<B, Response> {
+async fn json_body<B: DeserializeOwned>(req: &mut Request<State>) -> Result<B, Response> {
     let text = req.body_string().await.map_err(|e| fail(400, "bad_request", e, None))?;
     serde_json::from_str(&text).map_err(|e| fail(400, "bad_request", e, None))
 }
@@ -72,7 +72,7 @@
     mut req: Request<State>,
     f: impl FnOnce(State, B) -> F,
 ) -> tide::Result {
-    Ok(match body(&mut req).await {
+    Ok(match json_body(&mut req).await {
         Ok(b) => f(req.state().clone(), b).await,
         Err(res) => res,
     })
@@ -95,7 +95,7 @@
             admin::json(409, &body)
         }
         Err(err @ EditError::Invalid { .. }) => fail(400, "invalid", err, None),
-        Err(EditError::Platform(p)) => platform(&p),
+        Err(EditError::Platform(p)) => platform_error(&p),
     }
 }
 
@@ -127,7 +127,7 @@
             fail(422, "not_run", err, None)
         }
         Err(err @ SubmitError::KeyReused(_)) => fail(409, "conflict", err, None),
-        Err(SubmitError::Platform(p)) => platform(&p),
+        Err(SubmitError::Platform(p)) => platform_error(&p),
     }
 }
 
@@ -158,7 +158,7 @@
             let jobs: Vec<JobRow> = found.values().filter_map(|r| rows::decode(&r.value)).collect();
             admin::json(200, &jobs)
         }
-        Err(p) => platform(&p),
+        Err(p) => platform_error(&p),
     }
 }
 
@@ -168,7 +168,7 @@
     Ok(match rows::read::<JobRow>(&e.platform, rows::job_key(&id)).await {
         Ok(Some((row, _))) => admin::json(200, &row),
         Ok(None) => fail(404, "not_found", format!("no job {id}"), None),
-        Err(p) => platform(&p),
+        Err(p) => platform_error(&p),
     })
 }
 
@@ -186,7 +186,7 @@
         }
         Err(err @ CancelError::NotFound(_)) => fail(404, "not_found", err, None),
         Err(err @ CancelError::Busy(_)) => fail(503, "busy", err, Some(100)),
-        Err(CancelError::Platform(p)) => platform(&p),
+        Err(CancelError::Platform(p)) => platform_error(&p),
     })
 }
 
@@ -238,7 +238,7 @@
     }
     match e.writes.run(&w.id, &w.body).await {
         Ok(done) => admin::json(200, &done),
-        Err(WriteError::Ledger(LedgerError::Platform(p))) => platform(&p),
+        Err(WriteError::Ledger(LedgerError::Platform(p))) => platform_error(&p),
         Err(err @ WriteError::Ledger(_)) => fail(503, "busy", err, Some(RETRY_MS)),
         Err(WriteError::Refused(err)) => route_error(err),
         Err(WriteError::Unknown { runner, retry_ms }) => {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -73,9 +73,13 @@
 
 /// Applies `txn`, with retries while the table is unavailable, throttles or does not answer.
 /// Retries are safe because `txn` carries an idempotency key.
-pub async fn apply(table: &Client, clock: &Clock, txn: &Txn) -> Result<Outcome, PlatformError> {
+pub async fn apply_with_retries(
+    table: &Client,
+    clock: &Clock,
+    txn: &Txn,
+) -> Result<Outcome, PlatformError> {
     let mut wait = BACKOFF_MS;
-    let mut last = PlatformError::Timeout;
+    let mut last_error = PlatformError::Timeout;
     for _ in 0..MAX_ATTEMPTS {
         match table.txn(txn).await {
             Ok(out) => return Ok(out),
@@ -83,9 +87,9 @@
                 e @ (PlatformError::Unavailable { .. }
                 | PlatformError::Timeout
                 | PlatformError::Transport { .. }),
-            ) => last = e,
+            ) => last_error = e,
             Err(PlatformError::Throttled { retry_ms }) => {
-                last = PlatformError::Throttled { retry_ms };
+                last_error = PlatformError::Throttled { retry_ms };
                 wait = wait.max(retry_ms);
             }
             Err(e) => return Err(e),
@@ -94,7 +98,7 @@
         clock.sleep(wait + jitter).await;
         wait *= 2;
     }
-    Err(last)
+    Err(last_error)
 }
 
 /// Shards of a failure domain with their capacities, in a fixed order.
@@ -148,7 +152,7 @@
 impl SubmitContext<'_> {
     /// Builds the row of a new job: pending in the shard chosen for it, or refused if it can never
     /// run.
-    fn row(&self, entry: &CatEntry, spec: JobSpec) -> JobRow {
+    fn new_row(&self, entry: &CatEntry, spec: JobSpec) -> JobRow {
         let id = job_id(&spec.key);
         let chosen = self.inventory.choose(&id, &spec, self.rack_capacities);
         let (shard, total, largest) = &self.inventory.shards[chosen];
@@ -193,8 +197,9 @@
     if !spec.demand.fits(largest) {
         return Some("a task is larger than any worker");
     }
-    let whole = spec.demand.times(spec.tasks.into());
-    (class == Class::Gang && !whole.fits(total)).then_some("the gang is larger than its shard")
+    let gang_demand = spec.demand.times(spec.tasks.into());
+    (class == Class::Gang && !gang_demand.fits(total))
+        .then_some("the gang is larger than its shard")
 }
 
 /// Checks the ranges of a job's fields.
@@ -213,9 +218,9 @@
 
 /// Checks and commits a job, and returns its row. A job that can never run is committed as refused
 /// at once, which shows in the state of the row.
-pub async fn submit(a: &SubmitContext<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
+pub async fn submit(cx: &SubmitContext<'_>, mut spec: JobSpec) -> Result<JobRow, SubmitError> {
     check(&spec)?;
-    let entry = a
+    let entry = cx
         .cat
         .entries
         .get(&spec.entry)
@@ -224,25 +229,25 @@
         return Err(SubmitError::OverLimits(spec.entry.clone()));
     }
     spec.deadline_ms = spec.deadline_ms.or(default_deadline(entry.class));
-    let row = a.row(entry, spec);
+    let row = cx.new_row(entry, spec);
     let key = rows::job_key(&row.id);
     let index_key = match row.ended() {
-        true => rows::done_key(a.domain, &row.shard, row.submitted, &row.id),
-        false => rows::pending_key(a.domain, &row.shard, &row.id),
+        true => rows::done_key(cx.domain, &row.shard, row.submitted, &row.id),
+        false => rows::pending_key(cx.domain, &row.shard, &row.id),
     };
     let txn = Txn {
         conds: vec![Cond::Version { key: key.clone(), version: 0 }],
         ops: vec![Op::Put { key, value: rows::encode(&row) }, rows::put_marker(index_key)],
-        // A random part in the key: the row of another submission with the same job key can differ
+        // The key has a random part: the row of another submission with the same job key can differ
         // in time or shard, and must fail the condition above instead of replaying this outcome.
         idem: Some(format!("submit/{}/{:x}", row.id, rand::random::<u64>())),
     };
-    match apply(a.table, a.clock, &txn).await? {
+    match apply_with_retries(cx.table, cx.clock, &txn).await? {
         Outcome::Committed { .. } => {
             metrics::counter!("entry_jobs_submitted").increment(1);
             Ok(row)
         }
-        Outcome::Conflict { .. } => existing_job(a.table, row).await,
+        Outcome::Conflict { .. } => existing_job(cx.table, row).await,
     }
 }
 
@@ -306,7 +311,7 @@
             ops,
             idem: Some(format!("cancel/{id}/{version}")),
         };
-        if let Outcome::Committed { .. } = apply(table, clock, &txn).await? {
+        if let Outcome::Committed { .. } = apply_with_retries(table, clock, &txn).await? {
             return Ok((row, stops));
         }
     }
--- a/src/entry/ledger.rs
+++ b/src/entry/ledger.rs
@@ -51,7 +51,7 @@
     row: WriteRow,
     /// Expected version of the row; 0 if it must not exist.
     expected_version: u64,
-    /// Receiver of the result; none for the outcome of a write.
+    /// Channel to the caller that waits for the result; none for the outcome of a write.
     reply: Option<oneshot::Sender<Reply>>,
 }
 
@@ -112,7 +112,7 @@
     pub async fn run(self: Arc<Self>, stop: Stop) {
         loop {
             let first = match stop.unless_fired(self.rx.recv()).await {
-                Some(Ok(e)) => e,
+                Some(Ok(record)) => record,
                 Some(Err(_)) => return,
                 None => break,
             };
@@ -128,8 +128,8 @@
     async fn commit_waiting(&self, first: Option<Record>) {
         let mut group: Vec<Record> = first.into_iter().collect();
         while group.len() < MAX_GROUP {
-            let Ok(e) = self.rx.try_recv() else { break };
-            group.push(e);
+            let Ok(record) = self.rx.try_recv() else { break };
+            group.push(record);
         }
         while !group.is_empty() {
             group = self.commit(group).await;
@@ -141,20 +141,20 @@
     async fn commit(&self, mut group: Vec<Record>) -> Vec<Record> {
         let seq = self.seq.fetch_add(1, Ordering::Relaxed);
         let txn = self.transaction(&group, seq);
-        match jobs::apply(&self.table, &self.clock, &txn).await {
+        match jobs::apply_with_retries(&self.table, &self.clock, &txn).await {
             Ok(Outcome::Committed { versions, .. }) => {
-                for e in group {
-                    let version = versions.get(&rows::write_key(&e.id)).copied();
-                    let version = version.unwrap_or(e.expected_version + 1);
-                    e.answer(Ok(RecordResult::Recorded(version)));
+                for record in group {
+                    let version = versions.get(&rows::write_key(&record.id)).copied();
+                    let version = version.unwrap_or(record.expected_version + 1);
+                    record.answer(Ok(RecordResult::Recorded(version)));
                 }
                 Vec::new()
             }
             Ok(Outcome::Conflict { index, .. }) if index < group.len() => {
-                let e = group.remove(index);
-                if e.reply.is_some() {
-                    let stored = self.read(&e.id).await;
-                    e.answer(stored);
+                let record = group.remove(index);
+                if record.reply.is_some() {
+                    let stored = self.read(&record.id).await;
+                    record.answer(stored);
                 }
                 group
             }
@@ -167,13 +167,16 @@
         let now = self.clock.now();
         let conds = group
             .iter()
-            .map(|e| Cond::Version { key: rows::write_key(&e.id), version: e.expected_version })
+            .map(|r| Cond::Version { key: rows::write_key(&r.id), version: r.expected_version })
             .collect();
         let mut ops = Vec::with_capacity(group.len() * 2);
-        for e in group {
-            ops.push(Op::Put { key: rows::write_key(&e.id), value: rows::encode(&e.row) });
-            if e.expected_version == 0 {
-                ops.push(rows::put_marker(rows::wrote_key(&self.domain, now, &e.id)));
+        for record in group {
+            ops.push(Op::Put {
+                key: rows::write_key(&record.id),
+                value: rows::encode(&record.row),
+            });
+            if record.expected_version == 0 {
+                ops.push(rows::put_marker(rows::wrote_key(&self.domain, now, &record.id)));
             }
         }
         Txn { conds, ops, idem: Some(format!("ledger/{}/{:x}/{seq}", self.me, self.nonce)) }
@@ -197,6 +200,6 @@
 
 /// Answers all records of a group with an error; no record remains to be committed.
 fn fail(group: Vec<Record>, e: &LedgerError) -> Vec<Record> {
-    group.into_iter().for_each(|g| g.answer(Err(e.clone())));
+    group.into_iter().for_each(|record| record.answer(Err(e.clone())));
     Vec::new()
 }
--- a/src/entry/loops.rs
+++ b/src/entry/loops.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// The free capacity of the domain's racks is read with one of this many heartbeats. It serves only
-/// as a hint.
+/// Number of heartbeats from one read of the racks' free capacity to the next. The capacity is only
+/// a hint for the choice of a shard.
 const RACK_CAPACITY_HEARTBEATS: u64 = 3;
 
 /// Interval between attempts to read the worker list, ms.
@@ -144,12 +144,12 @@
         };
         let result = s.round(&cx, &held, &usable).await?;
         let mut m = self.members.lock().await;
-        for l in &result.lost {
+        for shard in &result.lost {
             // The heartbeat may have acquired it again in the meantime, under a new epoch.
-            if m.held.get(l).map(|h| h.epoch) == held.get(l).copied() {
-                log::warn!("shard {l} lost: fenced out");
+            if m.held.get(shard).map(|h| h.epoch) == held.get(shard).copied() {
+                log::warn!("shard {shard} lost: fenced out");
                 metrics::counter!("entry_shards_lost").increment(1);
-                m.held.remove(l);
+                m.held.remove(shard);
             }
         }
         Ok(())
--- a/src/entry/members.rs
+++ b/src/entry/members.rs
@@ -95,9 +95,9 @@
             }
         }
         let prefix = rows::member_prefix(&self.domain);
-        let live = table.leases(&prefix).await?;
+        let leases = table.leases(&prefix).await?;
         self.members =
-            live.keys().filter_map(|k| k.strip_prefix(&prefix)).map(String::from).collect();
+            leases.keys().filter_map(|k| k.strip_prefix(&prefix)).map(String::from).collect();
         self.members.insert(self.me.clone());
         for s in self.shards.clone() {
             let owned = owner(&s, &self.members) == Some(&self.me);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -126,10 +126,10 @@
         )
         .await?;
         log::info!("entry {} of domain {} listening on {bound}", self.addr.id, self.addr.domain);
-        let (mut stop_last, stopped_last) = stop::pair();
-        let late_tasks = [
-            task::spawn(self.pool.clone().run(stopped_last.clone())),
-            task::spawn(self.writes.ledger.clone().run(stopped_last)),
+        let (mut final_trigger, final_stop) = stop::pair();
+        let final_tasks = [
+            task::spawn(self.pool.clone().run(final_stop.clone())),
+            task::spawn(self.writes.ledger.clone().run(final_stop)),
         ];
         let loops = [
             task::spawn(self.clone().heartbeat()),
@@ -142,8 +142,8 @@
             self.members.lock().await.leave(&self.platform).await;
         };
         let (served, ()) = futures::join!(http, leave);
-        stop_last.fire();
-        futures::future::join_all(late_tasks).await;
+        final_trigger.fire();
+        futures::future::join_all(final_tasks).await;
         log::info!("entry {} stopped", self.addr.id);
         served?;
         Ok(())
--- a/src/entry/policy.rs
+++ b/src/entry/policy.rs
@@ -26,12 +26,14 @@
     out
 }
 
-/// Best fit, for batch work: the worker that is left with the least free capacity.
+/// Best fit, for batch work: the worker that is left with the least free capacity, so that tasks
+/// are packed tightly.
 fn best_fit(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>> {
     Some(greedy(demand, count, pool, |c| (c.free.sub(demand).slack(&c.cap), 0)))
 }
 
-/// Worst fit, for urgent work: the worker with the most free capacity.
+/// Worst fit, for urgent work: the worker with the most free capacity, so that the work starts
+/// without waiting.
 fn worst_fit(demand: &Resources, count: usize, pool: &[Candidate]) -> Option<Vec<WorkerKey>> {
     Some(greedy(demand, count, pool, |c| (1000 - c.free.slack(&c.cap).min(1000), 0)))
 }
--- a/src/entry/route/mod.rs
+++ b/src/entry/route/mod.rs
@@ -208,8 +208,8 @@
         if incarnation.is_some() && l.incarnation != incarnation {
             return None;
         }
-        let link = l.tx.clone()?;
-        link.try_send(make(id)).ok()?;
+        let queue = l.tx.clone()?;
+        queue.try_send(make(id)).ok()?;
         l.pending.insert(id, tx);
         self.counts.sent.fetch_add(1, Ordering::Relaxed);
         Some((k, id, rx))
@@ -250,7 +250,7 @@
         let deadline = self.clock.now() + self.timing.lookup_ms;
         let mut tried: Vec<RunnerKey> = Vec::new();
         let mut in_flight: Vec<InFlight> = Vec::new();
-        let mut busy = None;
+        let mut busy_error = None;
         let mut free_retry = false;
         let out = loop {
             let now = self.clock.now();
@@ -264,7 +264,7 @@
             if in_flight.is_empty() {
                 // No request is in flight, and no runner or no retry is left.
                 let retry_ms = self.retry_ms();
-                break Err(busy.unwrap_or(RouteError::NoRunner { retry_ms }));
+                break Err(busy_error.unwrap_or(RouteError::NoRunner { retry_ms }));
             }
             let remaining = deadline - now;
             let wait =
@@ -282,7 +282,7 @@
                     break Ok(Answer { key: answered, value, runner });
                 }
                 Ok(Frame::Busy { retry_ms, .. }) => {
-                    busy = Some(RouteError::Busy { retry_ms });
+                    busy_error = Some(RouteError::Busy { retry_ms });
                     // A leaving runner refuses only requests that were sent before its notice
                     // arrived. A retry elsewhere adds no load, so it does not use the budget.
                     free_retry = self.runners.get(k).link.lock().unwrap().announced_leaving;
--- a/src/entry/rows.rs
+++ b/src/entry/rows.rs
@@ -187,7 +187,7 @@
         !matches!(self.state, JobState::Pending | JobState::Running)
     }
 
-    /// Returns the failure domain of the job's shard.
+    /// Returns the failure domain of the job's shard, whose name is `<domain>-r<rack>`.
     pub fn domain(&self) -> &str {
         self.shard.split_once("-r").map_or(self.shard.as_str(), |(d, _)| d)
     }
--- a/src/entry/sched/commit.rs
+++ b/src/entry/sched/commit.rs
@@ -13,11 +13,11 @@
 use crate::standin::{lease_key, place_key, LEASE_PREFIX};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At most one worker in this many of a shard is avoided at a time, so that a burst of jobs that
-/// fail everywhere does not leave the shard without workers.
+/// One worker in this many of a shard, rounded up, may be avoided at a time, so that a burst of
+/// jobs that fail everywhere does not leave the shard without workers.
 const AVOID_AT_MOST_ONE_IN: usize = 4;
 
-/// The quota rows of teams that wait for quota are read again every this many rounds.
+/// Number of rounds after which the quota rows of teams that wait for quota are read again.
 const REREAD_ROUNDS: u64 = 5;
 
 /// Result of a commit.
@@ -43,7 +43,7 @@
         }
         self.seq += 1;
         let txn = self.transaction(cx, &plan);
-        match jobs::apply(cx.platform, cx.clock, &txn).await {
+        match jobs::apply_with_retries(cx.platform, cx.clock, &txn).await {
             Ok(Outcome::Committed { versions, .. }) => {
                 self.counts.commits += 1;
                 metrics::counter!("entry_tasks_placed").increment(plan.counts.placed);
@@ -52,8 +52,8 @@
             }
             Ok(Outcome::Conflict { key, .. }) => {
                 self.counts.conflicts += 1;
-                let table = key.split('/').next().unwrap_or_default().to_string();
-                metrics::counter!("entry_commit_conflicts", "row" => table).increment(1);
+                let row_kind = key.split('/').next().unwrap_or_default().to_string();
+                metrics::counter!("entry_commit_conflicts", "row" => row_kind).increment(1);
                 Ok(self.drop_stale(cx, &key))
             }
             Err(e) => {
@@ -147,12 +147,16 @@
         for (name, seq) in plan.acked {
             let Some(s) = self.shards.get_mut(&name) else { continue };
             s.acked = seq;
-            for e in std::mem::take(&mut s.ended) {
-                if s.stopping.get(&e.task).is_some_and(|r| r.attempt <= e.attempt) {
-                    s.stopping.remove(&e.task);
+            for completion in std::mem::take(&mut s.ended) {
+                if s.stopping.get(&completion.task).is_some_and(|r| r.attempt <= completion.attempt)
+                {
+                    s.stopping.remove(&completion.task);
                 }
-                if s.unstarted.get(&e.task).is_some_and(|r| r.attempt <= e.attempt) {
-                    s.unstarted.remove(&e.task);
+                if s.unstarted
+                    .get(&completion.task)
+                    .is_some_and(|r| r.attempt <= completion.attempt)
+                {
+                    s.unstarted.remove(&completion.task);
                 }
             }
         }
--- a/src/entry/sched/load.rs
+++ b/src/entry/sched/load.rs
@@ -61,8 +61,8 @@
         Ok(lost)
     }
 
-    /// Records `now` as the last contact with the workers of `shard`, except for those in
-    /// `unreachable`.
+    /// Records which workers of `shard` are unreachable, and `now` as the last contact with the
+    /// others and with workers that have none yet.
     fn record_contact(&mut self, shard: &str, unreachable: &BTreeSet<String>, now: u64) {
         let Some(s) = self.shards.get(shard) else { return };
         for &k in &s.workers {
--- a/src/entry/sched/migrate.rs
+++ b/src/entry/sched/migrate.rs
@@ -27,33 +27,33 @@
 const MAX_DOUBLINGS: u32 = 5;
 
 impl Draft<'_> {
-    /// Moves job `id` out of shard `name` if it has waited long enough and another shard has
+    /// Moves job `id` out of shard `shard_name` if it has waited long enough and another shard has
     /// capacity for it. Returns whether the job was moved.
-    pub(super) fn migrate(&mut self, name: &str, epoch: u64, id: &str) -> bool {
+    pub(super) fn migrate(&mut self, shard_name: &str, epoch: u64, id: &str) -> bool {
         let Some(row) = self.job(id) else { return false };
-        if row.placed() || !self.waited_enough(name, row) {
+        if row.placed() || !self.waited_enough(shard_name, row) {
             return false;
         }
-        let Some(to) = self.shard_with_capacity(name, row) else { return false };
-        self.move_job(name, epoch, id, &to);
+        let Some(to) = self.shard_with_capacity(shard_name, row) else { return false };
+        self.move_job(shard_name, epoch, id, &to);
         true
     }
 
-    /// Returns the shard other than `name` with the most free capacity into which `row` fits. There
-    /// is none for an urgent job that has moved [`URGENT_MOVES`] times, as the capacity reported
-    /// for its earlier targets was no longer free.
-    pub(super) fn shard_with_capacity(&self, name: &str, row: &JobRow) -> Option<String> {
+    /// Returns the shard other than `shard_name` with the most free capacity into which `row` fits.
+    /// There is none for an urgent job that has moved [`URGENT_MOVES`] times, as the capacity
+    /// reported for its earlier targets was no longer free.
+    pub(super) fn shard_with_capacity(&self, shard_name: &str, row: &JobRow) -> Option<String> {
         if row.moves >= URGENT_MOVES && row.class == Class::Urgent {
             return None;
         }
         let others =
-            self.s.rack_capacities.values().filter(|r| r.shard != name && row_fits(r, row));
+            self.s.rack_capacities.values().filter(|r| r.shard != shard_name && row_fits(r, row));
         others.max_by_key(|r| (r.free, r.shard.clone())).map(|r| r.shard.clone())
     }
 
-    /// Returns whether `row` has waited in shard `name` long enough for its next move.
-    fn waited_enough(&self, name: &str, row: &JobRow) -> bool {
-        let Some(since) = self.s.pending.get(name).and_then(|m| m.get(&row.id)) else {
+    /// Returns whether `row` has waited in shard `shard_name` long enough for its next move.
+    fn waited_enough(&self, shard_name: &str, row: &JobRow) -> bool {
+        let Some(since) = self.s.pending.get(shard_name).and_then(|m| m.get(&row.id)) else {
             return false;
         };
         let wait = if row.class == Class::Urgent { URGENT_WAIT_MS } else { WAIT_MS };
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -39,7 +39,8 @@
 /// Time for which a failing worker is avoided, ms.
 pub const AVOID_MS: u64 = 30_000;
 
-/// Most commit attempts in one round; each conflict is followed by a new plan.
+/// Most commit attempts in one round; each conflict is followed by a new plan. After the last
+/// attempt the shards are planned again in the next round.
 const MAX_COMMIT_ATTEMPTS: u32 = 4;
 
 /// The resources committed on one worker: the sum of its placement rows. Only the shard's holder
--- a/src/entry/sched/plan.rs
+++ b/src/entry/sched/plan.rs
@@ -13,9 +13,9 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Unused quota grants are released every this many rounds. The interval is long enough that a team
-/// with a low, steady rate of short tasks keeps its grant, which saves a write and a likely
-/// conflict for each job.
+/// Number of rounds from one release of unused quota grants to the next. The interval is long
+/// enough that a team with a low, steady rate of short tasks keeps its grant, which saves a write
+/// and a likely conflict for each job.
 const GRANT_RELEASE_ROUNDS: u64 = 48;
 
 /// Cause of a completion, as far as the failure record of the worker is concerned.
@@ -90,19 +90,19 @@
         let now = cx.clock.now();
         let plan = Plan { now, ..Plan::default() };
         let mut d = Draft { s: self, cx, plan, used: RefCell::default() };
-        for (name, &epoch) in plannable {
-            let Some(shard) = self.shards.get(name) else { continue };
+        for (shard_name, &epoch) in plannable {
+            let Some(shard) = self.shards.get(shard_name) else { continue };
             if shard.loaded != Some(epoch) {
                 continue;
             }
-            d.apply_completions(name, epoch, shard);
-            d.mark_lost(name, epoch, shard);
+            d.apply_completions(shard_name, epoch, shard);
+            d.mark_lost(shard_name, epoch, shard);
             if let Some(running) = &shard.running {
-                d.reconcile(name, epoch, shard, running);
+                d.reconcile(shard_name, epoch, shard, running);
             }
             // Jobs are served only once this instance has a catalogue.
             if cx.cat.version > 0 {
-                d.serve_jobs(name, epoch, shard);
+                d.serve_jobs(shard_name, epoch, shard);
             }
         }
         if self.counts.rounds.is_multiple_of(GRANT_RELEASE_ROUNDS) {
@@ -148,14 +148,14 @@
         }
     }
 
-    /// Adds the fence of the shard, and updates the pending-job entry of a job after a change of
-    /// its row.
-    pub fn sync_pending(&mut self, name: &str, epoch: u64, id: &str) {
-        self.plan.leases.insert(name.to_string(), epoch);
+    /// Makes the commit conditional on the lease of the shard, and updates the pending-job entry of
+    /// a job after a change of its row.
+    pub fn sync_pending(&mut self, shard_name: &str, epoch: u64, id: &str) {
+        self.plan.leases.insert(shard_name.to_string(), epoch);
         let Some(row) = self.job(id) else { return };
         let (waits, ended) = (row.waiting() && !row.ended(), row.ended());
-        let key = (name.to_string(), id.to_string());
-        let listed = self.s.pending.get(name).is_some_and(|m| m.contains_key(id));
+        let key = (shard_name.to_string(), id.to_string());
+        let listed = self.s.pending.get(shard_name).is_some_and(|m| m.contains_key(id));
         match (listed, waits) {
             (false, true) => drop(self.plan.pending.insert(key.clone(), true)),
             (true, false) => drop(self.plan.pending.insert(key.clone(), false)),
@@ -168,7 +168,7 @@
     }
 
     /// Adds the placement row and the start order of task `n` of job `id`.
-    pub fn order_start(&mut self, name: &str, epoch: u64, id: &str, n: usize, worker: &str) {
+    pub fn order_start(&mut self, shard_name: &str, epoch: u64, id: &str, n: usize, worker: &str) {
         let hold_ms = self.cx.hold_ms;
         let Some(row) = self.job(id) else { return };
         let (task, t) = (row.task_id(n), &row.tasks[n]);
@@ -176,7 +176,7 @@
             task: task.clone(),
             attempt: t.attempt,
             worker: worker.to_string(),
-            lease: lease_key(name),
+            lease: lease_key(shard_name),
             epoch,
             demand: row.spec.demand,
             run_ms: row.spec.run_ms,
@@ -186,8 +186,8 @@
         };
         let (worker, attempt, demand) = (worker.to_string(), t.attempt, row.spec.demand);
         let place = PlaceRow { worker, epoch, attempt, demand };
-        self.plan.places.insert((name.to_string(), task), Some(place));
-        self.plan.starts.push((name.to_string(), req));
+        self.plan.places.insert((shard_name.to_string(), task), Some(place));
+        self.plan.starts.push((shard_name.to_string(), req));
     }
 
     /// Moves a job from shard `from` to shard `to`; see [`super::migrate`].
--- a/src/entry/sched/preempt.rs
+++ b/src/entry/sched/preempt.rs
@@ -19,19 +19,25 @@
 impl Draft<'_> {
     /// Orders stops until `count` urgent tasks of `demand` each fit on a worker of `shard`, as far
     /// as possible.
-    pub(super) fn preempt(&mut self, name: &str, shard: &Shard, demand: &Resources, count: usize) {
+    pub(super) fn preempt(
+        &mut self,
+        shard_name: &str,
+        shard: &Shard,
+        demand: &Resources,
+        count: usize,
+    ) {
         let mut chosen: BTreeSet<WorkerKey> = BTreeSet::new();
         for _ in 0..count {
             let best = shard
                 .workers
                 .iter()
                 .filter(|k| !chosen.contains(k))
-                .filter_map(|&k| Some((k, self.victims(name, shard, demand, k)?)))
+                .filter_map(|&k| Some((k, self.victims(shard_name, shard, demand, k)?)))
                 .min_by_key(|(k, v)| (v.cost, *k));
             let Some((k, v)) = best else { return };
             chosen.insert(k);
             self.plan.counts.preempted += v.stops.len() as u64;
-            self.plan.stops.extend(v.stops.into_iter().map(|s| (name.to_string(), s)));
+            self.plan.stops.extend(v.stops.into_iter().map(|s| (shard_name.to_string(), s)));
         }
     }
 
@@ -39,7 +45,7 @@
     /// fit after all of them.
     fn victims(
         &self,
-        name: &str,
+        shard_name: &str,
         shard: &Shard,
         demand: &Resources,
         k: WorkerKey,
@@ -52,7 +58,7 @@
         let mut free = w.info.cap.sub(&commitments.used);
         let stops_already = |task: &str| {
             shard.stopping.contains_key(task)
-                || self.plan.stops.iter().any(|(s, r)| s == name && r.task == *task)
+                || self.plan.stops.iter().any(|(s, r)| s == shard_name && r.task == *task)
         };
         let stopping_tasks = commitments.tasks.iter().filter(|(t, _)| stops_already(t));
         free = stopping_tasks.fold(free, |sum, (_, r)| sum.add(r));
--- a/src/entry/sched/quota.rs
+++ b/src/entry/sched/quota.rs
@@ -2,7 +2,7 @@
 //! in the failure domain is granted to shards in portions, recorded in one row. The holder of a
 //! shard places tasks within its own grant, and writes the row only to enlarge or release it.
 //!
-//! Without it, two holders that each check the team's sum as they last read it could both place
+//! Without grants, two holders that each check the team's sum as they last read it could both place
 //! tasks, and the team would exceed its quota. The sum of the grants never exceeds the quota,
 //! because a grant is a conditional write of the row.
 
--- a/src/entry/sched/serve.rs
+++ b/src/entry/sched/serve.rs
@@ -20,16 +20,16 @@
 
 impl Draft<'_> {
     /// Serves the jobs with a pending-job entry by class, deadline and submission time.
-    pub fn serve_jobs(&mut self, name: &str, epoch: u64, shard: &Shard) {
-        let Some(entries) = self.s.pending.get(name) else { return };
+    pub fn serve_jobs(&mut self, shard_name: &str, epoch: u64, shard: &Shard) {
+        let Some(entries) = self.s.pending.get(shard_name) else { return };
         let mut order: Vec<(usize, Millis, Millis, &String)> = Vec::new();
         for id in entries.keys() {
             let Some(row) = self.job(id) else {
-                self.plan.pending.insert((name.to_string(), id.clone()), false);
-                self.plan.leases.insert(name.to_string(), epoch);
+                self.plan.pending.insert((shard_name.to_string(), id.clone()), false);
+                self.plan.leases.insert(shard_name.to_string(), epoch);
                 continue;
             };
-            if row.shard != name {
+            if row.shard != shard_name {
                 continue;
             }
             let due = row.spec.deadline_ms.map_or(Millis::MAX, |d| row.submitted + d);
@@ -45,14 +45,14 @@
             let Some(row) = self.job(id) else { continue };
             let (class, gang_waits) = (row.class, self.gang_waits(row));
             match &row.state {
-                JobState::Cancelled => self.finish_cancellation(name, epoch, id),
+                JobState::Cancelled => self.finish_cancellation(shard_name, epoch, id),
                 JobState::Pending if class == Class::Batch && gang_drains => {}
                 JobState::Pending => {
-                    self.serve_pending(name, epoch, shard, id);
+                    self.serve_pending(shard_name, epoch, shard, id);
                     gang_drains |= gang_waits && self.job(id).is_some_and(JobRow::waiting);
                 }
                 JobState::Running | JobState::Finished { .. } | JobState::Refused { .. } => {
-                    self.sync_pending(name, epoch, id);
+                    self.sync_pending(shard_name, epoch, id);
                 }
             }
         }
@@ -67,16 +67,16 @@
 
     /// Stops the committed tasks of a cancelled job, and removes its pending-job entry once nothing
     /// is committed.
-    fn finish_cancellation(&mut self, name: &str, epoch: u64, id: &str) {
-        if self.stop_tasks(name, id, |t| t.worker.is_some()) == 0 {
-            self.sync_pending(name, epoch, id);
+    fn finish_cancellation(&mut self, shard_name: &str, epoch: u64, id: &str) {
+        if self.stop_tasks(shard_name, id, |t| t.worker.is_some()) == 0 {
+            self.sync_pending(shard_name, epoch, id);
         }
     }
 
     /// Orders stops for the committed tasks of `id` that `selects` picks, and returns their number.
     fn stop_tasks(
         &mut self,
-        name: &str,
+        shard_name: &str,
         id: &str,
         selects: impl Fn(&rows::TaskRow) -> bool,
     ) -> usize {
@@ -91,44 +91,45 @@
             }
         }
         let committed = stops.len();
-        self.plan.stops.extend(stops.into_iter().map(|s| (name.to_string(), s)));
+        self.plan.stops.extend(stops.into_iter().map(|s| (shard_name.to_string(), s)));
         committed
     }
 
     /// Refuses, places or moves a job with waiting tasks, or preempts batch tasks for it.
-    fn serve_pending(&mut self, name: &str, epoch: u64, shard: &Shard, id: &str) {
+    fn serve_pending(&mut self, shard_name: &str, epoch: u64, shard: &Shard, id: &str) {
         let Some(row) = self.job(id) else { return };
         if let Some(reason) = self.refusal(row) {
-            return self.refuse(name, epoch, id, reason);
+            return self.refuse(shard_name, epoch, id, reason);
         }
         if row.class == Class::Gang && row.placed() {
             // A member ended early. The members of a gang only work together, so the others are
             // stopped and the whole gang is placed again.
-            self.stop_tasks(name, id, |t| t.state == TaskState::Placed);
+            self.stop_tasks(shard_name, id, |t| t.state == TaskState::Placed);
             return;
         }
         if row.class == Class::Gang && row.tasks.iter().any(|t| t.state == TaskState::Failed) {
-            self.fail_gang(name, epoch, id);
+            self.fail_gang(shard_name, epoch, id);
             return;
         }
         if row.retry > self.plan.now {
             return;
         }
-        let unplaced = self.place_waiting(name, epoch, shard, id);
+        let unplaced = self.place_waiting(shard_name, epoch, shard, id);
         if unplaced > 0 {
-            self.migrate_or_preempt(name, epoch, shard, id, unplaced);
+            self.migrate_or_preempt(shard_name, epoch, shard, id, unplaced);
         }
     }
 
     /// Places as many waiting tasks of a job as quota and free capacity allow. Returns the number
     /// of tasks that the quota allows but that do not fit.
-    fn place_waiting(&mut self, name: &str, epoch: u64, shard: &Shard, id: &str) -> usize {
+    fn place_waiting(&mut self, shard_name: &str, epoch: u64, shard: &Shard, id: &str) -> usize {
         let Some(row) = self.job(id) else { return 0 };
         let Some(entry) = self.cx.cat.entries.get(&row.spec.entry) else { return 0 };
         let (demand, class, team) = (row.spec.demand, row.class, row.team.clone());
-        let waiting: Vec<usize> = pending(row);
+        let waiting: Vec<usize> = waiting_tasks(row);
         let pool = self.candidates(shard, row);
-        let allowed = self.quota_headroom(name, &team, &entry.quota, &demand, waiting.len() as u64);
+        let allowed =
+            self.quota_headroom(shard_name, &team, &entry.quota, &demand, waiting.len() as u64);
         let wanted = waiting.len().min(allowed as usize);
         if wanted < waiting.len() {
             self.plan.counts.over_quota += 1;
@@ -140,11 +141,11 @@
         let chosen = (registry::policy(class).choose)(&demand, wanted, &pool).unwrap_or_default();
         let placed = chosen.len();
         if placed > 0 {
-            self.grant(name, &team, &entry.quota, &demand.times(placed as u64));
+            self.grant(shard_name, &team, &entry.quota, &demand.times(placed as u64));
             for (&n, k) in waiting.iter().zip(chosen) {
-                self.place(name, epoch, id, n, k);
+                self.place(shard_name, epoch, id, n, k);
             }
-            self.sync_pending(name, epoch, id);
+            self.sync_pending(shard_name, epoch, id);
         }
         wanted - placed
     }
@@ -153,19 +154,19 @@
     /// of its tasks. Urgent work preempts only if no other shard has capacity for it.
     fn migrate_or_preempt(
         &mut self,
-        name: &str,
+        shard_name: &str,
         epoch: u64,
         shard: &Shard,
         id: &str,
         unplaced: usize,
     ) {
-        if self.migrate(name, epoch, id) {
+        if self.migrate(shard_name, epoch, id) {
             return;
         }
         let Some(row) = self.job(id) else { return };
         let demand = row.spec.demand;
-        if row.class == Class::Urgent && self.shard_with_capacity(name, row).is_none() {
-            self.preempt(name, shard, &demand, unplaced);
+        if row.class == Class::Urgent && self.shard_with_capacity(shard_name, row).is_none() {
+            self.preempt(shard_name, shard, &demand, unplaced);
         }
     }
 
@@ -193,23 +194,23 @@
 
     /// Refuses a job as not run. The refusal is committed before a caller can read it: with its
     /// tasks refused and its pending-job entry removed, no task of the job is placed afterwards.
-    fn refuse(&mut self, name: &str, epoch: u64, id: &str, reason: &str) {
+    fn refuse(&mut self, shard_name: &str, epoch: u64, id: &str, reason: &str) {
         let Some(row) = self.job_mut(id) else { return };
         row.state = JobState::Refused { reason: reason.into() };
         row.tasks.iter_mut().for_each(|t| t.state = TaskState::Refused);
         self.plan.counts.refused += 1;
-        self.sync_pending(name, epoch, id);
+        self.sync_pending(shard_name, epoch, id);
     }
 
     /// Fails the waiting tasks of a gang of which a member has failed permanently.
-    fn fail_gang(&mut self, name: &str, epoch: u64, id: &str) {
+    fn fail_gang(&mut self, shard_name: &str, epoch: u64, id: &str) {
         let now = self.plan.now;
         let Some(row) = self.job_mut(id) else { return };
         for t in row.tasks.iter_mut().filter(|t| t.state == TaskState::Pending) {
             t.state = TaskState::Failed;
         }
         update_state(row, now);
-        self.sync_pending(name, epoch, id);
+        self.sync_pending(shard_name, epoch, id);
     }
 
     /// Returns the workers of the shard on which a task of `row` may be placed. Workers on which
@@ -246,7 +247,7 @@
     }
 
     /// Places task `n` of job `id` on worker `k` and orders its start.
-    fn place(&mut self, name: &str, epoch: u64, id: &str, n: usize, k: WorkerKey) {
+    fn place(&mut self, shard_name: &str, epoch: u64, id: &str, n: usize, k: WorkerKey) {
         let now = self.plan.now;
         let worker = self.s.workers.get(k).info.name.clone();
         let Some(row) = self.job_mut(id) else { return };
@@ -259,12 +260,12 @@
         update_state(row, now);
         self.commitments_mut(k).add(&task, demand);
         self.plan.counts.placed += 1;
-        self.order_start(name, epoch, id, n, &worker);
+        self.order_start(shard_name, epoch, id, n, &worker);
     }
 }
 
 /// Returns the numbers of the tasks that wait for placement.
-fn pending(row: &JobRow) -> Vec<usize> {
+fn waiting_tasks(row: &JobRow) -> Vec<usize> {
     let waits = |t: &rows::TaskRow| t.state == TaskState::Pending;
     row.tasks.iter().enumerate().filter(|(_, t)| waits(t)).map(|(n, _)| n).collect()
 }
--- a/src/entry/writes.rs
+++ b/src/entry/writes.rs
@@ -1,8 +1,8 @@
 //! Non-idempotent writes, at most once.
 //!
-//! Without it, a write whose answer is lost could run a second time on another runner when the
-//! caller repeats it through another entry instance. The ledger therefore records the runner before
-//! the write is sent, the frame is sent to a runner at most once, and a repeat queries that runner
+//! A write whose answer is lost could run a second time on another runner when the caller repeats
+//! it through another entry instance. The ledger therefore records the runner before the write is
+//! sent, the frame is sent to a runner at most once, and a repeat queries that runner
 //! for the outcome. A `Busy` answer means that the runner has not run the write and never will;
 //! only then is the record changed to another runner and the write sent there. A restarted runner
 //! no longer has the outcomes of its previous incarnation, so the outcome is then reported
@@ -114,8 +114,8 @@
         let remaining = deadline.saturating_sub(self.clock.now()).max(1);
         let make = |n| Frame::Write { id: n, write: id.to_string(), body: body.to_string() };
         match self.pool.exchange(k, row.incarnation, remaining, make).await {
-            // The write never left this process. Queries for it get `Busy` from the runner, or
-            // find that its incarnation is gone.
+            // Nothing was sent. A later query for the write gets `Busy` from the runner, or finds
+            // that the runner has restarted.
             Err(e @ RouteError::NoRunner { .. }) => Ok(Progress::Refused(version, k, e)),
             reply => self.handle_reply(k, row, version, id, reply),
         }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -107,12 +107,12 @@
             assert_eq!(status, 200, "{body}");
         }
     }
-    let started_after_cancel = c.platform.stats().started;
+    let started_at_cancel = c.platform.stats().started;
     let all_stopped = eventually(40, || async { c.platform.stats().running == 0 }).await;
     assert!(all_stopped, "cancelled tasks were stopped: {:?}", c.platform.stats());
     // No task may start in later rounds.
     async_std::task::sleep(std::time::Duration::from_millis(300)).await;
-    assert_eq!(c.platform.stats().started, started_after_cancel);
+    assert_eq!(c.platform.stats().started, started_at_cancel);
     for k in &keys {
         let url = format!("{}/jobs/{}", c.url(0), currantgw::entry::jobs::job_id(k));
         assert_eq!(get(&url).await.1["state"], "cancelled");
@@ -215,14 +215,14 @@
 #[async_std::test]
 async fn entry_started_during_an_outage_serves_lookups_at_once() {
     let mut cell = common::cell(2, 1, 1);
-    let late = cell.entries.pop().unwrap();
+    let late_entry = cell.entries.pop().unwrap();
     let mut c = TestCell::start(cell).await;
     c.ready().await;
     assert_eq!(post(&format!("{}/catalogue", c.url(0)), &catalogue(0)).await.0, 200);
     let down = |target| Fault::now(target, FaultKind::Outage, 2_000);
     c.platform.add_faults([Target::Table, Target::Workers].map(down).into());
-    c.cell.entries.push(late.clone());
-    let i = c.add_entry(&late.id).await;
+    c.cell.entries.push(late_entry.clone());
+    let i = c.add_entry(&late_entry.id).await;
     let url = format!("{}/lookup?key=early", c.url(i));
     assert!(eventually(20, || async { common::try_get(&url).await.is_some() }).await);
     let (status, body) =
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -151,7 +151,7 @@
     assert_eq!(
         p.start(&[StartReq { epoch: e2, ..start("a-r0-w0", e2) }])[0].refused,
         Some(StartRefusal::NotPlaced),
-        "the first placement's epoch is over"
+        "the placement row has an earlier epoch"
     );
     place(&p, "B", e2, "a-r0-w0");
     assert_eq!(
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -43,8 +43,9 @@
 }
 
 /// Guards against a task that runs twice or never ends after its worker became unreachable. This
-/// happens if its tasks are placed again before their leases on the worker expire, or never. They
-/// must be placed elsewhere only after the worker has killed them by its own clock.
+/// happens if its tasks are placed again before their leases on the worker expire, or never. The
+/// worker keeps running and is reachable again after 4 s. Its tasks must be placed elsewhere only
+/// after it has killed them by its own clock.
 #[async_std::test]
 async fn tasks_of_an_unreachable_worker_expire_and_move_without_running_twice() {
     let mut cell = common::cell(1, 1, 1);
