--- a/src/standin/api.rs
+++ b/src/standin/api.rs
@@ -62,7 +62,7 @@
 pub struct FeedReq {
     /// Key prefix.
     pub prefix: String,
-    /// Revision of the last answer received; 0 asks for all rows.
+    /// Revision of the last answer received; 0 requests all rows.
     pub since: u64,
 }
 
@@ -78,7 +78,7 @@
 pub struct ErrorBody {
     /// `throttled`, `unavailable`, `answer_lost`, `not_found` or `bad_request`.
     pub error: String,
-    /// Delay before a retry, ms; absent if a retry is of no use.
+    /// Delay before a retry, ms; absent if a retry would not help.
     #[serde(default)]
     pub retry_ms: Option<u64>,
 }
--- a/src/standin/client.rs
+++ b/src/standin/client.rs
@@ -56,7 +56,7 @@
     /// No answer within [`CALL_TIMEOUT_MS`].
     #[error("platform call timed out")]
     Timeout,
-    /// The connection failed.
+    /// The connection failed, or a body could not be encoded or decoded.
     #[error("platform transport: {detail}")]
     Transport {
         /// Error of the HTTP client or of the JSON decoder.
@@ -70,7 +70,7 @@
         /// Error kind from the body; empty if the body has none.
         detail: String,
     },
-    /// The object or domain does not exist.
+    /// The object, instance or domain does not exist.
     #[error("not found")]
     NotFound,
 }
@@ -119,13 +119,13 @@
         let answer = self.clock.timeout(CALL_TIMEOUT_MS, async {
             let mut res = req.header(CALLER_HEADER, &self.domain).await.map_err(transport)?;
             let status: u16 = res.status().into();
-            let text = res.body_bytes().await.map_err(transport)?;
-            self.traffic.received.fetch_add(text.len() as u64, Ordering::Relaxed);
+            let bytes = res.body_bytes().await.map_err(transport)?;
+            self.traffic.received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
             if status == 200 {
-                return serde_json::from_slice::<T>(&text)
+                return serde_json::from_slice::<T>(&bytes)
                     .map_err(|e| PlatformError::Transport { detail: e.to_string() });
             }
-            let body: Option<ErrorBody> = serde_json::from_slice(&text).ok();
+            let body: Option<ErrorBody> = serde_json::from_slice(&bytes).ok();
             let (kind, retry) = body.map_or((String::new(), None), |b| (b.error, b.retry_ms));
             Err(match (status, kind.as_str()) {
                 (429, _) => PlatformError::Throttled { retry_ms: retry.unwrap_or(1000) },
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -208,7 +208,7 @@
 /// The fault plan.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Plan {
-    /// All faults, those that are over included.
+    /// All faults, expired ones included.
     pub faults: Vec<Fault>,
 }
 
@@ -252,12 +252,12 @@
     }
 
     /// Whether any fault of the plan, active or not, names a worker or a job.
-    pub fn affects_named(&self) -> bool {
-        let names_one = |f: &Fault| match f.kind {
+    pub fn names_targets(&self) -> bool {
+        let names_target = |f: &Fault| match f.kind {
             FaultKind::Broken { .. } | FaultKind::Cut { .. } | FaultKind::Poison { .. } => true,
             FaultKind::Outage | FaultKind::Delay { .. } | FaultKind::LoseAnswer => false,
         };
-        self.faults.iter().any(names_one)
+        self.faults.iter().any(names_target)
     }
 
     /// Adds faults; those without a start begin at `now`.
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -155,15 +155,17 @@
         self.domains.values().flat_map(|d| d.lock().unwrap().list()).collect()
     }
 
+    /// Failure domain of a worker or shard: its name up to the first hyphen.
     fn domain_of(name: &str) -> &str {
         name.split('-').next().unwrap_or(name)
     }
 
+    /// Ends the tasks that are due and applies the fault plan to the workers of all domains.
     fn tick_all(&self) {
         let now = self.clock.now();
         let faults = {
             let plan = self.plan.lock().unwrap();
-            plan.affects_named().then(|| plan.affected(now))
+            plan.names_targets().then(|| plan.affected(now))
         };
         for d in self.domains.values() {
             let mut d = d.lock().unwrap();
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -150,8 +150,8 @@
 pub struct Feed {
     /// Revision to pass to the next call.
     pub revision: u64,
-    /// `rows` contains all rows under the prefix, because the history since the requested
-    /// revision is no longer kept.
+    /// `rows` contains all rows under the prefix: all were requested, or the history since the
+    /// requested revision is no longer kept.
     pub reset: bool,
     /// Rows written since the requested revision.
     pub rows: BTreeMap<String, Row>,
@@ -201,13 +201,14 @@
 }
 
 impl Budget {
-    fn charge(&mut self, now: Millis, write: bool) -> Result<(), Throttled> {
+    /// Counts one call in the present second, or refuses it if the limit is reached.
+    fn charge(&mut self, now: Millis, is_write: bool) -> Result<(), Throttled> {
         if now >= self.window_start + 1000 {
             self.window_start = now - now % 1000;
             self.used_writes = 0;
             self.used_reads = 0;
         }
-        let (used, limit) = if write {
+        let (used, limit) = if is_write {
             (&mut self.used_writes, self.writes)
         } else {
             (&mut self.used_reads, self.reads)
@@ -234,11 +235,17 @@
     rows: BTreeMap<String, Row>,
     leases: BTreeMap<String, Lease>,
     idem: BTreeMap<String, Outcome>,
+    /// Keys of `idem`, oldest first.
     idem_order: VecDeque<String>,
+    /// Revision of the latest change.
     revision: u64,
+    /// Row keys, by the revision of their latest change.
     changed: BTreeMap<u64, String>,
+    /// Revision of the latest change of each row key.
     last_change: BTreeMap<String, u64>,
+    /// Revisions in `changed` that removed a row.
     tombstones: BTreeSet<u64>,
+    /// Removals up to this revision may have been dropped from the history.
     history_start: u64,
     budget: Budget,
     /// Counters since start.
@@ -253,13 +260,13 @@
 
     /// Applies `txn` at platform time `now`.
     pub fn apply(&mut self, txn: &Txn, now: Millis) -> Result<Outcome, Throttled> {
-        if let Some(done) = txn.idem.as_ref().and_then(|k| self.idem.get(k)) {
+        if let Some(recorded) = txn.idem.as_ref().and_then(|k| self.idem.get(k)) {
             self.counts.replays += 1;
-            let mut done = done.clone();
-            if let Outcome::Committed { replay, .. } = &mut done {
+            let mut replayed = recorded.clone();
+            if let Outcome::Committed { replay, .. } = &mut replayed {
                 *replay = true;
             }
-            return Ok(done);
+            return Ok(replayed);
         }
         self.budget.charge(now, true)?;
         let out = self.execute(txn, now);
@@ -331,6 +338,7 @@
         }
     }
 
+    /// Checks the conditions and lease operations of `txn`, then applies all its operations.
     fn execute(&mut self, txn: &Txn, now: Millis) -> Outcome {
         for (i, c) in txn.conds.iter().enumerate() {
             let ok = match c {
@@ -468,8 +476,8 @@
         now: Millis,
     ) -> Result<BTreeMap<String, Lease>, Throttled> {
         self.charge_read(now)?;
-        let live = with_prefix(&self.leases, prefix).filter(|(_, l)| l.expires > now);
-        Ok(live.map(|(k, l)| (k.clone(), l.clone())).collect())
+        let unexpired = with_prefix(&self.leases, prefix).filter(|(_, l)| l.expires > now);
+        Ok(unexpired.map(|(k, l)| (k.clone(), l.clone())).collect())
     }
 
     /// Reads a row without charging the budget, for the platform's own checks.
--- a/src/standin/workers.rs
+++ b/src/standin/workers.rs
@@ -20,7 +20,9 @@
     attempt: u32,
     demand: Resources,
     start: Millis,
+    /// Time at which the task completes; `None` if it runs until it is stopped.
     end: Option<Millis>,
+    /// Share of the work done and checkpointed before this attempt, percent.
     saved: u8,
 }
 
@@ -42,19 +44,25 @@
     used: Resources,
     broken: bool,
     cut: bool,
+    /// Expiry of the leases of all tasks of the worker; `None` if they have none.
     lease_until: Option<Millis>,
+    /// Latest attempt of each task started or stopped here, until its completion is acknowledged.
     latest_attempt: BTreeMap<String, u32>,
+    /// Completions while the worker cannot be reached.
     backlog: Vec<Completion>,
 }
 
 impl Worker {
+    /// Extends the leases of all tasks of the worker; never shortens them.
     fn extend(&mut self, until: Millis) {
-        self.lease_until = Some(self.lease_until.map_or(until, |h| h.max(until)));
+        self.lease_until = Some(self.lease_until.map_or(until, |present| present.max(until)));
     }
 }
 
+/// Completions of one shard that have not been acknowledged, oldest first.
 #[derive(Debug, Default)]
 struct Reports {
+    /// Sequence number of the latest completion.
     seq: u64,
     ended: VecDeque<Completion>,
 }
@@ -64,8 +72,10 @@
 pub struct Workers {
     arena: Arena<WorkerKey, Worker>,
     names: BTreeMap<String, WorkerKey>,
+    /// Running tasks by the time at which they complete.
     due: BTreeSet<(Millis, WorkerKey, String)>,
     reports: BTreeMap<String, Reports>,
+    /// Workers of the running tasks, by task id.
     tasks: BTreeMap<String, WorkerKey>,
     poison: BTreeSet<String>,
     /// Tasks started.
@@ -123,7 +133,7 @@
         }
     }
 
-    /// Ends all tasks whose run time is over at `now`, and kills those whose task lease expired.
+    /// Ends all tasks that complete by `now`, and kills those whose task lease expired.
     pub fn tick(&mut self, now: Millis) {
         while let Some((at, k, task)) = self.due.first().cloned() {
             if at > now {
@@ -131,7 +141,7 @@
             }
             // A lease that expired before the end of the run killed the task at that time.
             match self.arena.get(k).lease_until {
-                Some(h) if h < at => self.expire_lease(k, h),
+                Some(expiry) if expiry < at => self.expire_lease(k, expiry),
                 _ => self.finish(k, &task, at, EndKind::Done),
             }
         }
@@ -139,9 +149,9 @@
             .arena
             .iter()
             .filter(|(_, w)| !w.running.is_empty())
-            .filter_map(|(k, w)| Some((k, w.lease_until.filter(|&h| h <= now)?)))
+            .filter_map(|(k, w)| Some((k, w.lease_until.filter(|&expiry| expiry <= now)?)))
             .collect();
-        expired.into_iter().for_each(|(k, h)| self.expire_lease(k, h));
+        expired.into_iter().for_each(|(k, expiry)| self.expire_lease(k, expiry));
     }
 
     fn expire_lease(&mut self, k: WorkerKey, at: Millis) {
@@ -150,6 +160,7 @@
         tasks.iter().for_each(|t| self.finish(k, t, at, EndKind::Lapsed));
     }
 
+    /// Removes a running task and queues the report of its completion.
     fn finish(&mut self, k: WorkerKey, task: &str, at: Millis, how: EndKind) {
         let w = self.arena.get_mut(k);
         let Some(run) = w.running.remove(task) else { return };
@@ -169,7 +180,7 @@
             EndKind::Stopped => run.progress(at),
             EndKind::Lapsed => run.saved,
         };
-        let ended = Completion {
+        let completion = Completion {
             seq: 0,
             at,
             task: task.to_string(),
@@ -179,10 +190,10 @@
             saved,
         };
         if w.cut {
-            w.backlog.push(ended);
+            w.backlog.push(completion);
         } else {
             let shard = shard_of(&w.info);
-            self.reports.entry(shard).or_default().push(ended);
+            self.reports.entry(shard).or_default().push(completion);
         }
     }
 
@@ -285,7 +296,7 @@
         while r.ended.front().is_some_and(|e| e.seq <= p.acked) {
             if let Some(e) = r.ended.pop_front() {
                 if let Some(&k) = self.names.get(&e.worker) {
-                    // The completion is committed and the placement row of this attempt is gone,
+                    // The completion is committed and the placement row of this attempt removed,
                     // so the placement check refuses any start order of it.
                     let latest_attempt = &mut self.arena.get_mut(k).latest_attempt;
                     if latest_attempt.get(&e.task) == Some(&e.attempt) {
