--- a/src/runner/conn.rs
+++ b/src/runner/conn.rs
@@ -20,12 +20,12 @@
 /// Number of task handles above which those of finished requests are dropped.
 const PRUNE_AT: usize = 256;
 
-/// Poll interval while draining, ms.
+/// Interval at which a draining connection checks whether its requests are finished, ms.
 const DRAIN_POLL_MS: u64 = 20;
 
 impl Runner {
-    fn is_silenced(&self, generation: u64) -> bool {
-        generation <= self.silenced_upto.load(Ordering::SeqCst)
+    fn is_silenced(&self, conn_number: u64) -> bool {
+        conn_number <= self.silenced_upto.load(Ordering::SeqCst)
     }
 
     async fn handle(self: Arc<Self>, frame: Frame, tx: channel::Sender<Frame>) {
@@ -68,10 +68,11 @@
     fn accepts(&self, frame: &Frame, stopping: bool) -> bool {
         let full =
             self.queued.load(Ordering::SeqCst) >= self.settings.slots as usize * QUEUE_PER_SLOT;
-        let open = !stopping && !full;
-        let Frame::Write { write, .. } = frame else { return open };
+        let can_accept = !stopping && !full;
+        let Frame::Write { write, .. } = frame else { return can_accept };
         let mut writes = self.writes.lock().unwrap();
-        let decision = || if open { WriteState::Accepted(Vec::new()) } else { WriteState::Refused };
+        let decision =
+            || if can_accept { WriteState::Accepted(Vec::new()) } else { WriteState::Refused };
         !matches!(writes.entry(write.clone()).or_insert_with(decision), WriteState::Refused)
     }
 
@@ -92,7 +93,8 @@
         let _ = tx.send(answer).await;
     }
 
-    /// Waits for a slot, handles `frame` and frees the slot.
+    /// Waits for a slot, handles `frame` and frees the slot. `pending` counts the requests of the
+    /// connection, waiting ones included.
     async fn run_in_slot(
         self: Arc<Self>,
         frame: Frame,
@@ -111,7 +113,8 @@
     }
 }
 
-fn busy(frame: &Frame) -> Option<Frame> {
+/// The busy answer to a lookup or write; `None` for other frames.
+fn busy_answer(frame: &Frame) -> Option<Frame> {
     match frame {
         Frame::Lookup { id, .. } | Frame::Write { id, .. } => {
             Some(Frame::Busy { id: *id, retry_ms: BUSY_RETRY_MS })
@@ -123,7 +126,7 @@
 /// Serves one connection until the remote side closes it, or until `stop` has fired and the
 /// requests in flight are answered. A request that arrives after `stop` is answered busy and does
 /// not run.
-pub async fn serve(r: Arc<Runner>, stream: TcpStream, generation: u64, stop: Stop) {
+pub async fn serve(r: Arc<Runner>, stream: TcpStream, conn_number: u64, stop: Stop) {
     let Ok(ws) = async_tungstenite::accept_async(stream).await else { return };
     r.open_conns.fetch_add(1, Ordering::SeqCst);
     let (mut sink, mut source) = ws.split();
@@ -132,7 +135,7 @@
         let r = r.clone();
         async_std::task::spawn(async move {
             while let Ok(f) = rx.recv().await {
-                if r.is_silenced(generation) {
+                if r.is_silenced(conn_number) {
                     continue;
                 }
                 if sink.send(Message::binary(wire::encode(f))).await.is_err() {
@@ -169,7 +172,7 @@
             }
         };
         let Some(Ok(msg)) = next else { break };
-        if r.is_silenced(generation) {
+        if r.is_silenced(conn_number) {
             continue;
         }
         let Message::Binary(bytes) = msg else { continue };
@@ -191,8 +194,8 @@
             Frame::Lookup { .. } | Frame::Write { .. } => {
                 if !r.accepts(&frame, stopping) {
                     r.busy.fetch_add(1, Ordering::Relaxed);
-                    if let Some(b) = busy(&frame) {
-                        let _ = tx.send(b).await;
+                    if let Some(answer) = busy_answer(&frame) {
+                        let _ = tx.send(answer).await;
                     }
                     continue;
                 }
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -50,6 +50,7 @@
     pub addr: RunnerAddr,
     settings: RunnerSettings,
     clock: Clock,
+    /// One message for each free slot.
     slots: async_std::channel::Receiver<()>,
     slot_tx: async_std::channel::Sender<()>,
     writes: Mutex<BTreeMap<String, WriteState>>,
@@ -59,9 +60,13 @@
     lookups: AtomicU64,
     busy: AtomicU64,
     open_conns: AtomicUsize,
+    /// Requests that have a slot.
     in_flight: AtomicUsize,
+    /// Accepted requests that wait for a slot.
     queued: AtomicUsize,
-    generation: AtomicU64,
+    /// Number of the latest connection; connections are numbered from 1 as they are accepted.
+    last_conn: AtomicU64,
+    /// Connections up to this number are silenced.
     silenced_upto: AtomicU64,
 }
 
@@ -86,7 +91,7 @@
             open_conns: AtomicUsize::new(0),
             in_flight: AtomicUsize::new(0),
             queued: AtomicUsize::new(0),
-            generation: AtomicU64::new(0),
+            last_conn: AtomicU64::new(0),
             silenced_upto: AtomicU64::new(0),
         })
     }
@@ -118,17 +123,17 @@
         self.answers_to_lose.store(n, Ordering::SeqCst);
     }
 
-    /// Whether to lose this answer; counts it if so.
+    /// Whether the next answer is to be lost; if so, one answer fewer is left to lose.
     fn lose_next_answer(&self) -> bool {
         let decrement = |n: u64| n.checked_sub(1);
         self.answers_to_lose.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement).is_ok()
     }
 
-    /// Fault injection: all present connections become permanently silent. They stay open, but
-    /// frames on them are ignored and no answers are sent, as when a middlebox loses its state of a
-    /// connection. New connections are not affected.
+    /// Fault injection: all present connections become permanently unresponsive. They stay open,
+    /// but frames on them are ignored and no answers are sent, as when a middlebox loses its state
+    /// of a connection. New connections are not affected.
     pub fn silence(&self) {
-        self.silenced_upto.store(self.generation.load(Ordering::SeqCst), Ordering::SeqCst);
+        self.silenced_upto.store(self.last_conn.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
     fn dump(&self) -> serde_json::Value {
@@ -166,11 +171,11 @@
                 metrics::counter!("runner_connections_refused").increment(1);
                 continue;
             }
-            let generation = self.generation.fetch_add(1, Ordering::SeqCst) + 1;
+            let conn_number = self.last_conn.fetch_add(1, Ordering::SeqCst) + 1;
             conns.push(async_std::task::spawn(conn::serve(
                 self.clone(),
                 stream,
-                generation,
+                conn_number,
                 stop.clone(),
             )));
         }
