--- a/src/admin.rs
+++ b/src/admin.rs
@@ -107,10 +107,10 @@
     let in_flight = InFlight { count: Arc::default(), stop: stop.clone() };
     let count = in_flight.count.clone();
     app.with(in_flight);
-    let failed = |source| ServeError::Bind { addr, source };
-    let socket = http::listen(addr).map_err(failed)?;
-    let bound = socket.local_addr().map_err(failed)?;
-    let mut listener = app.bind(socket).await.map_err(failed)?;
+    let bind_error = |source| ServeError::Bind { addr, source };
+    let socket = http::listen(addr).map_err(bind_error)?;
+    let bound = socket.local_addr().map_err(bind_error)?;
+    let mut listener = app.bind(socket).await.map_err(bind_error)?;
     let serve = async move {
         {
             let accept = std::pin::pin!(listener.accept());
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -155,7 +155,8 @@
     pub faults: Option<PathBuf>,
 }
 
-async fn body(req: surf::RequestBuilder) -> eyre::Result<String> {
+/// Sends a request and returns the body of its answer; any status but success is an error.
+async fn send(req: surf::RequestBuilder) -> eyre::Result<String> {
     let mut res = req.await.map_err(|e| eyre::eyre!("{e}"))?;
     let status = res.status();
     let text = res.body_string().await.map_err(|e| eyre::eyre!("{e}"))?;
@@ -174,7 +175,7 @@
         .ok_or_else(|| eyre::eyre!("name a settings file with --node or {SETTINGS_ENV}"))?;
     let settings = NodeSettings::load(&path)?;
     crate::logs::init_stdout("control", &settings.id, level)?;
-    let (clock, stop, _signals) = signals()?;
+    let (clock, stop, _signals) = stop_on_signal()?;
     let hangups = signal_hook_async_std::Signals::new([signal_hook::consts::SIGHUP])?;
     let reloads = async_std::task::spawn(reload(hangups, path, settings.clone()));
     let res = crate::control::node::run(settings, clock, stop).await;
@@ -201,16 +202,18 @@
     }
 }
 
-async fn daemon(
+/// Sets up the logs and the stop signal of a process of a cell.
+async fn init_daemon(
     role: &str,
     id: &str,
     level: log::LevelFilter,
 ) -> eyre::Result<(Clock, stop::Stop, async_std::task::JoinHandle<()>)> {
     crate::logs::init(role, id, level)?;
-    signals()
+    stop_on_signal()
 }
 
-fn signals() -> eyre::Result<(Clock, stop::Stop, async_std::task::JoinHandle<()>)> {
+/// Installs the metrics recorder, and fires the returned stop signal on SIGTERM or SIGINT.
+fn stop_on_signal() -> eyre::Result<(Clock, stop::Stop, async_std::task::JoinHandle<()>)> {
     crate::admin::metrics();
     let (mut trigger, stop) = stop::pair();
     let mut signals = signal_hook_async_std::Signals::new([
@@ -261,16 +264,16 @@
 }
 
 async fn get(url: &str) -> eyre::Result<String> {
-    body(crate::http::client().get(url)).await
+    send(crate::http::client().get(url)).await
 }
 
 async fn post(url: &str, json: &serde_json::Value) -> eyre::Result<String> {
     let req = crate::http::client().post(url).body_json(json).map_err(|e| eyre::eyre!("{e}"))?;
-    body(req).await
+    send(req).await
 }
 
 async fn run_platform(cell: &Cell, level: log::LevelFilter) -> eyre::Result<()> {
-    let (clock, stop, _signals) = daemon("platform", "platform", level).await?;
+    let (clock, stop, _signals) = init_daemon("platform", "platform", level).await?;
     let names: Vec<String> = cell.runners.iter().map(|r| r.id.clone()).collect();
     let platform =
         Arc::new(crate::standin::Platform::new(cell.platform.clone(), &names, clock.clone()));
@@ -283,12 +286,12 @@
 }
 
 async fn run_entry(cell: &Cell, id: &str, level: log::LevelFilter) -> eyre::Result<()> {
-    let (clock, stop, _signals) = daemon("entry", id, level).await?;
+    let (clock, stop, _signals) = init_daemon("entry", id, level).await?;
     crate::entry::Entry::new(cell, id, clock, stop)?.run().await
 }
 
 async fn run_runner(cell: &Cell, id: &str, level: log::LevelFilter) -> eyre::Result<()> {
-    let (clock, stop, _signals) = daemon("runner", id, level).await?;
+    let (clock, stop, _signals) = init_daemon("runner", id, level).await?;
     let addr = cell.runner_addr(id).ok_or_else(|| eyre::eyre!("no runner {id} in the settings"))?;
     crate::runner::Runner::new(addr.clone(), cell.runner.clone(), clock).serve(stop).await
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -15,7 +15,7 @@
 pub use tide::http::Method;
 
 /// Time limit for opening a connection, ms. An address behind a network partition never answers; a
-/// live one in the same region answers within a few ms.
+/// reachable one in the same region answers within a few ms.
 const CONNECT_MS: u64 = 400;
 
 /// A connection is closed if sent data stays unacknowledged for this time, ms. Without it, a
@@ -98,7 +98,7 @@
         Self { idle: Arc::default(), clock }
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<TcpStream> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<TcpStream> {
         self.idle.lock().unwrap().get_mut(&addr)?.pop()
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Closes the idle connections to `addr`. All connections to an address can become unresponsive
-    /// together, so the calls after one without an answer open new ones.
+    /// together, so the calls after a failed one open new connections.
     fn close_idle(&self, addr: SocketAddr) {
         self.idle.lock().unwrap().remove(&addr);
     }
@@ -140,6 +140,8 @@
         self.send(addr, req, ms, ms * MAX_ANSWER_WAITS).await
     }
 
+    /// Sends `req` on an idle or a new connection. `ms` limits the wait for the head and for each
+    /// part of the body, `whole_ms` the wait for the whole answer.
     async fn send(
         &self,
         addr: SocketAddr,
@@ -147,7 +149,7 @@
         ms: u64,
         whole_ms: u64,
     ) -> Result<Reply, CallError> {
-        let stream = match self.take(addr) {
+        let stream = match self.take_idle(addr) {
             Some(s) => s,
             None => self.open(addr, ms).await?,
         };
@@ -174,15 +176,16 @@
         req: http::Request,
         ms: u64,
     ) -> Result<(Reply, bool), CallError> {
-        let late = |_| CallError::Timeout;
-        let head = self.clock.timeout(ms, async_h1::connect(stream, req)).await.map_err(late)?;
+        let timed_out = |_| CallError::Timeout;
+        let head =
+            self.clock.timeout(ms, async_h1::connect(stream, req)).await.map_err(timed_out)?;
         let mut res = head.map_err(|e| CallError::Broken(e.to_string()))?;
         let close = res.header("Connection").is_some_and(|v| v.as_str() == "close");
         let status = res.status().into();
         let mut source = res.take_body();
         let (mut body, mut buffer) = (Vec::new(), vec![0; READ_BYTES]);
         loop {
-            let read = self.clock.timeout(ms, source.read(&mut buffer)).await.map_err(late)?;
+            let read = self.clock.timeout(ms, source.read(&mut buffer)).await.map_err(timed_out)?;
             match read.map_err(|e| CallError::Broken(e.to_string()))? {
                 0 => return Ok((Reply { status, body }, !close)),
                 n => body.extend_from_slice(&buffer[..n]),
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -29,12 +29,12 @@
 pub struct PlatformSettings {
     /// Address of its HTTP API.
     pub listen: SocketAddr,
-    /// Table write transactions allowed per second, for the whole cell; several hundred on the
-    /// platform that it stands for.
+    /// Table write transactions allowed per second, for the whole cell; the real
+    /// platform allows several hundred.
     #[serde(default = "default_writes")]
     pub writes: u32,
-    /// Table reads allowed per second, for the whole cell; about two thousand on the platform that
-    /// it stands for.
+    /// Table reads allowed per second, for the whole cell; the real platform allows about
+    /// two thousand.
     #[serde(default = "default_reads")]
     pub reads: u32,
     /// Lag of the workers' reports, ms.
--- a/src/options/mod.rs
+++ b/src/options/mod.rs
@@ -56,7 +56,7 @@
         /// The name given.
         value: String,
     },
-    /// A list is empty that needs at least one item.
+    /// A list that needs at least one item is empty.
     #[error("settings field {field} is empty")]
     Empty {
         /// Dotted path of the field.
--- a/src/smoke/calls.rs
+++ b/src/smoke/calls.rs
@@ -92,6 +92,7 @@
     edits: AtomicU64,
     slowest_edit_us: AtomicU64,
     reverts: AtomicU64,
+    /// Random number in the write ids of this run.
     run_id: u64,
 }
 
@@ -124,7 +125,7 @@
         &self.bases[n % self.bases.len()]
     }
 
-    /// Sends lookups to entry `n`, one after the other, until the load is over.
+    /// Sends lookups to entry `n`, one after the other, until the load ends.
     pub async fn run_lookups(self: Arc<Self>, n: usize) {
         let kind = if n.is_multiple_of(2) { "runner" } else { "card" };
         let mut i = 0u64;
--- a/src/smoke/jobs.rs
+++ b/src/smoke/jobs.rs
@@ -53,8 +53,8 @@
 pub struct Submitted {
     jobs: u64,
     tasks: u64,
-    refused: u64,
-    errors: u64,
+    tasks_refused: u64,
+    submit_errors: u64,
     /// Ids of accepted jobs, by the URL of the entry instance.
     accepted: BTreeMap<String, Vec<String>>,
     rows: Vec<JobRow>,
@@ -105,8 +105,8 @@
     for (base, tasks, answer) in futures::future::join_all(submissions).await {
         match answer {
             Ok(row) => submitted.accepted.entry(base).or_default().push(row.id),
-            Err(422) => submitted.refused += tasks,
-            Err(_) => submitted.errors += 1,
+            Err(422) => submitted.tasks_refused += tasks,
+            Err(_) => submitted.submit_errors += 1,
         }
     }
     submitted
@@ -119,9 +119,9 @@
         let start = Instant::now();
         while start.elapsed() < SETTLE_TIMEOUT {
             self.read().await;
-            let known = self.rows.len() == self.accepted.values().map(Vec::len).sum::<usize>();
+            let all_read = self.rows.len() == self.accepted.values().map(Vec::len).sum::<usize>();
             let open = |j: &JobRow| !j.ended() && j.class != Class::Service;
-            if known && !self.rows.iter().any(open) {
+            if all_read && !self.rows.iter().any(open) {
                 return;
             }
             task::sleep(Duration::from_millis(500)).await;
@@ -135,8 +135,8 @@
             for page in ids.chunks(STATUS_PAGE) {
                 let body = serde_json::json!({ "ids": page });
                 // Any entry can answer; the one that accepted the job may have been replaced.
-                for other in std::iter::once(&base).chain(bases.iter()) {
-                    let url = format!("{other}/jobs/status");
+                for target in std::iter::once(&base).chain(bases.iter()) {
+                    let url = format!("{target}/jobs/status");
                     if let Ok(answer) = post_json::<Vec<JobRow>>(&url, &body).await {
                         self.rows.extend(answer);
                         break;
@@ -152,8 +152,8 @@
         report.jobs_submitted = self.jobs;
         report.jobs_accepted = accepted;
         report.tasks_submitted = self.tasks;
-        report.tasks_refused = self.refused;
-        report.submit_errors = self.errors;
+        report.tasks_refused = self.tasks_refused;
+        report.submit_errors = self.submit_errors;
         report.jobs_lost = accepted.saturating_sub(self.rows.len() as u64);
         for t in self.rows.iter().flat_map(|j| &j.tasks) {
             report.tasks_placed += u64::from(t.attempt > 0);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -224,8 +224,8 @@
     Frame::try_from(w)
 }
 
-/// The value of `key` on every runner. The smoke driver compares each answer with it, to detect an
-/// answer to another lookup and a partial one.
+/// The value of `key` on every runner. The smoke driver compares each answer with it, to detect
+/// partial answers and answers to another lookup.
 pub fn value_for(key: &str) -> String {
     format!("{key}={:016x}", xxh3::xxh3_64(key.as_bytes()))
 }
