--- a/tests/common/procs.rs
+++ b/tests/common/procs.rs
@@ -92,7 +92,7 @@
     }
 
     /// Number of shards held by the `entries` that answer.
-    pub async fn held(&self, entries: &[usize]) -> usize {
+    pub async fn shards_held(&self, entries: &[usize]) -> usize {
         let mut held = 0;
         for &i in entries {
             let dump = super::try_get(&format!("{}/debug/state", self.url(i))).await;
@@ -109,7 +109,7 @@
             links.len() == self.cell.runners.len() && links.values().all(|l| l["connected"] == true)
         };
         let cell_ready = super::eventually(200, || async {
-            if self.held(&all).await != shards as usize {
+            if self.shards_held(&all).await != shards as usize {
                 return false;
             }
             for &i in &all {
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -63,7 +63,7 @@
     assert!(!ok && out.contains("no entry absent in the settings"), "{out}");
 }
 
-/// An entry is killed after it committed placements whose start orders did not get through; another
+/// An entry is killed after it committed placements whose start orders were blocked; another
 /// entry takes its shards over. It must compare the placement rows with the tasks that the workers
 /// run and start the missing ones, or the tasks stay placed permanently and never run.
 #[async_std::test]
@@ -125,8 +125,8 @@
             p.signal("entry-0", "STOP");
         }
     }
-    let taken_over = eventually(200, || async { p.held(&[1]).await == 2 }).await;
-    assert!(taken_over, "the live entry did not take the paused one's shards over");
+    let taken_over = eventually(200, || async { p.shards_held(&[1]).await == 2 }).await;
+    assert!(taken_over, "the other entry did not take the paused one's shards over");
     p.signal("entry-0", "CONT");
     for k in &keys {
         assert!(finished(&job_url(&p, 1, k)).await, "{:?}", try_get(&job_url(&p, 1, k)).await);
@@ -163,7 +163,7 @@
     let (status, done) = write.await;
     assert_eq!((status, &done["runs"]), (200, &1.into()), "{done}");
     assert!(p.exited("entry-0").await, "the entry did not exit with status 0");
-    let taken_over = eventually(60, || async { p.held(&[1]).await == 2 }).await;
+    let taken_over = eventually(60, || async { p.shards_held(&[1]).await == 2 }).await;
     assert!(taken_over, "its shards were not released at once");
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -48,42 +48,42 @@
     assert!(missing.is_empty(), "docs/ops/settings.md lacks {missing:?}");
 }
 
-fn load(name: &str) -> SettingsError {
+fn load_error(name: &str) -> SettingsError {
     let path = format!("tests/invalid_settings/{name}");
     options::load(Some(std::path::Path::new(&path))).unwrap_err()
 }
 
 #[test]
 fn unknown_field_is_refused() {
-    assert_matches!(load("unknown_field.json"), SettingsError::Parse(e) if e.to_string().contains("colour"));
+    assert_matches!(load_error("unknown_field.json"), SettingsError::Parse(e) if e.to_string().contains("colour"));
 }
 
 #[test]
 fn malformed_json_is_refused() {
-    assert_matches!(load("malformed.json"), SettingsError::Parse(_));
+    assert_matches!(load_error("malformed.json"), SettingsError::Parse(_));
 }
 
 #[test]
 fn heartbeat_longer_than_half_a_lease_is_refused() {
-    assert_matches!(load("heartbeat_range.json"), SettingsError::Range { field, .. } if field == "timing.heartbeat_ms");
+    assert_matches!(load_error("heartbeat_range.json"), SettingsError::Range { field, .. } if field == "timing.heartbeat_ms");
 }
 
 #[test]
 fn entry_in_unknown_domain_is_refused() {
-    assert_matches!(load("unknown_domain.json"), SettingsError::Unknown { field, .. } if field == "entries[0].domain");
+    assert_matches!(load_error("unknown_domain.json"), SettingsError::Unknown { field, .. } if field == "entries[0].domain");
 }
 
 #[test]
 fn duplicate_entry_id_is_refused() {
-    assert_matches!(load("duplicate_id.json"), SettingsError::Duplicate { field, .. } if field == "entries.id");
+    assert_matches!(load_error("duplicate_id.json"), SettingsError::Duplicate { field, .. } if field == "entries.id");
 }
 
 #[test]
 fn no_domains_is_refused() {
-    assert_matches!(load("no_domains.json"), SettingsError::Empty { field } if field == "platform.domains");
+    assert_matches!(load_error("no_domains.json"), SettingsError::Empty { field } if field == "platform.domains");
 }
 
 #[test]
 fn missing_file_is_refused() {
-    assert_matches!(load("no_such_file.json"), SettingsError::Read { .. });
+    assert_matches!(load_error("no_such_file.json"), SettingsError::Read { .. });
 }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -124,8 +124,8 @@
     if status_b == 409 {
         assert_eq!(body_b["current"], 2);
     }
-    let (late, body) = post(&url_a, &a).await;
-    assert_eq!((late, &body["current"]), (409, &2.into()), "an edit of an old version, later");
+    let (status, body) = post(&url_a, &a).await;
+    assert_eq!((status, &body["current"]), (409, &2.into()), "an edit of an old version, later");
     for i in 0..2 {
         let url = format!("{}/catalogue", c.url(i));
         let same = eventually(100, || async {
