--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -318,7 +318,7 @@
             None => None,
             Some(after) => match self.store.changes(rows::ELECTION, after, wait_ms).await {
                 Ok(changes) => Some(changes),
-                Err(ReadError::HistoryGone) => None,
+                Err(ReadError::HistoryExpired) => None,
                 Err(e) => return Err(e),
             },
         };
@@ -326,7 +326,7 @@
             Some(c) => {
                 let put = c.rows.into_iter().filter_map(|c| match c {
                     Change::Put(row) => Some(row),
-                    Change::Gone(_) => None,
+                    Change::Removed(_) => None,
                 });
                 (put.collect(), c.version)
             }
--- a/src/control/engine/forecast.rs
+++ b/src/control/engine/forecast.rs
@@ -9,7 +9,7 @@
     /// Computes the critical paths, ms, from the run times of completed steps, the predicted run
     /// times of the others, and the time of an advice request for each.
     fn forecast(&mut self, model: &RunTimes, advice_ms: u64) {
-        let run_time = |i: usize| self.steps.get(i).map_or(0, |s| s.took);
+        let run_time = |i: usize| self.steps.get(i).map_or(0, |s| s.run_ms);
         let time = |(i, s): (usize, &Step)| match run_time(i) {
             0 => model.predict(s.estimate) + advice_ms,
             took => took + advice_ms,
@@ -52,16 +52,16 @@
             false => run.map(|r| r.progress.began),
         };
         let Some(began) = began.filter(|&at| at > 0) else { return };
-        step.took = step.took.max(now.mono - began);
+        step.run_ms = step.run_ms.max(now.mono - began);
     }
 
     /// Updates the queue's run-time model with a step that has just completed, unless one of its
     /// tasks was started more than once.
     pub(super) fn update_run_times(&mut self, id: StepId) {
         let Some(job) = self.jobs.get(&id.job) else { return };
-        let Some(step) = job.step(id).filter(|s| s.took > 0) else { return };
+        let Some(step) = job.step(id).filter(|s| s.run_ms > 0) else { return };
         if step.tasks.iter().all(|t| t.attempt <= Attempt::default().next()) {
-            let (estimate, took) = (job.spec(id).estimate, step.took);
+            let (estimate, took) = (job.spec(id).estimate, step.run_ms);
             self.run_times.entry(job.row.queue.clone()).or_default().record(estimate, took);
         }
         self.forecast(id.job);
--- a/src/control/engine/jobs.rs
+++ b/src/control/engine/jobs.rs
@@ -77,7 +77,7 @@
     pub preempt_tried: u64,
     /// Longest run time of its completed tasks so far, ms; for a gang, since all members were
     /// running.
-    pub took: u64,
+    pub run_ms: u64,
 }
 
 impl StepRun {
@@ -92,7 +92,7 @@
             approvals: Approvals::default(),
             opened: 0,
             preempt_tried: 0,
-            took: 0,
+            run_ms: 0,
         }
     }
 
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -289,7 +289,7 @@
             rack,
             one_rack: v.step.one_rack,
             suspect: false,
-            how: self.rules.placement,
+            policy: self.rules.placement,
             seed: v.id.job.0 ^ self.counts.rounds,
         }
     }
--- a/src/control/front.rs
+++ b/src/control/front.rs
@@ -241,7 +241,7 @@
 
     /// State of a job, none if it does not exist; an error response if that cannot be determined.
     async fn find_state(&self, id: JobId) -> Result<Option<JobState>, Response> {
-        if self.mirror.knows_state(id) {
+        if self.mirror.has_state(id) {
             return Ok(self.mirror.job_state(id));
         }
         // A job that the leader does not list may still have been stored: only the store can show
--- a/src/control/leader/batching.rs
+++ b/src/control/leader/batching.rs
@@ -91,7 +91,7 @@
             self.separate_until = now + SEPARATE_MS;
         }
         if stored {
-            self.acknowledged(sent);
+            self.record_ack(sent);
         }
         match scope {
             PartitionScope::All => self.joint -= 1,
@@ -103,7 +103,7 @@
     }
 
     /// Records that the store acknowledged a write that was sent at `sent`, local ms.
-    pub fn acknowledged(&mut self, sent: u64) {
+    pub fn record_ack(&mut self, sent: u64) {
         self.last_ack = self.last_ack.max(sent);
     }
 
--- a/src/control/leader/mod.rs
+++ b/src/control/leader/mod.rs
@@ -204,7 +204,7 @@
                     Event::Heartbeat(res, sent) => {
                         writes.record(&res);
                         match res {
-                            Ok(true) => batching.acknowledged(sent),
+                            Ok(true) => batching.record_ack(sent),
                             Ok(false) => engine.superseded = true,
                             Err(_) => {}
                         }
--- a/src/control/links/client.rs
+++ b/src/control/links/client.rs
@@ -34,7 +34,7 @@
     /// It was not sent.
     NotSent,
     /// It got no answer, and may have been executed.
-    NoAnswer,
+    NoResponse,
 }
 
 /// An instance's link to the leader.
@@ -137,7 +137,7 @@
     pub async fn relay(&self, relay: Relay, ms: u64) -> Option<WriteOutcome> {
         match self.call(|id| Frame::Write { id, relay }, ms).await {
             Ok(Frame::Written { out, .. }) => Some(out),
-            Ok(_) | Err(CallError::NoAnswer) => None,
+            Ok(_) | Err(CallError::NoResponse) => None,
             Err(CallError::NotSent) => Some(WriteOutcome::NotStored),
         }
     }
@@ -174,7 +174,7 @@
             }
         };
         self.calls.lock().unwrap().remove(&id);
-        out.ok_or(CallError::NoAnswer)
+        out.ok_or(CallError::NoResponse)
     }
 
     /// Keeps a link to the current leader open; never returns.
--- a/src/control/links/server.rs
+++ b/src/control/links/server.rs
@@ -322,7 +322,7 @@
         match call {
             Frame::Write { id, relay } => self.store_relayed(id, relay).await,
             Frame::Find { id, job } => {
-                let state = self.mirror.job_state(job).filter(|_| self.mirror.knows_state(job));
+                let state = self.mirror.job_state(job).filter(|_| self.mirror.has_state(job));
                 Frame::Found { id, state }
             }
             Frame::Count { id, queue } => {
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -151,14 +151,14 @@
     }
 
     /// Cached state of a job; none if the job is not in the cache. Without a progress row it is
-    /// `Queued`, see [`Self::knows_state`].
+    /// `Queued`, see [`Self::has_state`].
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         self.state.lock().unwrap().job_state(id)
     }
 
     /// Whether a job's state is known: the job is in the cache, and so is its progress row or the
     /// whole progress table.
-    pub fn knows_state(&self, id: JobId) -> bool {
+    pub fn has_state(&self, id: JobId) -> bool {
         let st = self.state.lock().unwrap();
         let has_job = st.jobs.get(&id).is_some_and(|j| j.row.is_some());
         has_job && (st.progress.contains_key(&id) || st.cached_version(Table::Progress).is_some())
@@ -304,7 +304,7 @@
 
     async fn update(&self, table: Table, wait_ms: u64) -> Result<usize, ReadError> {
         if !self.state.lock().unwrap().caches(table) {
-            return Err(ReadError::HistoryGone);
+            return Err(ReadError::HistoryExpired);
         }
         if self.cached_version(table).is_none() {
             return self.read_all(table).await;
@@ -312,7 +312,7 @@
         // While the store is unresponsive, a poll is only a probe and doesn't wait for changes.
         let wait_ms = if self.store_health.unavailable() { 0 } else { wait_ms };
         match self.follow(table, wait_ms).await {
-            Err(ReadError::HistoryGone) => {
+            Err(ReadError::HistoryExpired) => {
                 log::info!(table = table.name(); "feed history is gone; reading the whole table again");
                 self.read_all(table).await
             }
@@ -332,7 +332,7 @@
             // poll would request even more: the table is read in slices instead.
             let too_large = self.clock.mono() - sent >= FEED_TOO_LARGE_MS;
             // Another caller may have begun a full read meanwhile, which is then kept.
-            if (*e == ReadError::HistoryGone || too_large)
+            if (*e == ReadError::HistoryExpired || too_large)
                 && st.versions.get(&table) == Some(&after)
             {
                 st.forget(table);
@@ -350,7 +350,7 @@
         for c in changes.rows {
             match c {
                 Change::Put(row) => st.put(table, row),
-                Change::Gone(key) => st.remove(table, &key),
+                Change::Removed(key) => st.remove(table, &key),
             }
         }
         let version = st.versions.entry(table).or_default();
@@ -405,7 +405,7 @@
     /// leaves the link free for other traffic.
     async fn read_slice(&self, table: Table) -> Result<u64, ReadError> {
         let slice = self.state.lock().unwrap().slice(table);
-        let (parts, limit) = slice.ok_or(ReadError::HistoryGone)?;
+        let (parts, limit) = slice.ok_or(ReadError::HistoryExpired)?;
         let sent = self.clock.mono();
         let name = table.name();
         let reads = parts.iter().map(|(part, from)| self.store.page(name, part, from, None, limit));
--- a/src/control/mirror/state.rs
+++ b/src/control/mirror/state.rs
@@ -122,7 +122,7 @@
         let count = page.rows.len();
         let last = page.rows.last().map(|r| r.key.key.clone());
         // The next page starts with the last row of this one, which is harmless.
-        let next = last.filter(|_| page.more && count > 1);
+        let next = last.filter(|_| page.has_more && count > 1);
         for row in page.rows {
             self.put(table, row);
         }
--- a/src/control/place.rs
+++ b/src/control/place.rs
@@ -54,7 +54,7 @@
     /// A run of the task was lost with its runner.
     pub suspect: bool,
     /// Placement policy.
-    pub how: Placement,
+    pub policy: Placement,
     /// Seed of random placement.
     pub seed: u64,
 }
@@ -62,7 +62,7 @@
 /// Sort key of the placement policy among the candidates that fit; lower is better. `remaining` is
 /// the capacity that the task would leave free.
 fn order(request: &PlacementRequest, index: usize, remaining: &Resources) -> (u64, u64) {
-    match request.how {
+    match request.policy {
         Placement::BestFit => (remaining.cpu, remaining.mem),
         Placement::FirstFit => (0, 0),
         Placement::Random => {
--- a/src/control/ports.rs
+++ b/src/control/ports.rs
@@ -78,7 +78,7 @@
 pub enum ReadError {
     /// The feed no longer has these changes; the table must be read in full.
     #[error("changes are no longer available")]
-    HistoryGone,
+    HistoryExpired,
     /// Refused with this status.
     #[error("refused with status {0}")]
     Refused(u16),
@@ -96,7 +96,7 @@
     /// The rows.
     pub rows: Vec<Row>,
     /// Whether more rows follow.
-    pub more: bool,
+    pub has_more: bool,
     /// The store's newest version at the time of the read.
     pub version: u64,
 }
@@ -107,7 +107,7 @@
     /// Written.
     Put(Row),
     /// Removed.
-    Gone(Key),
+    Removed(Key),
 }
 
 /// Changes of a table in order.
--- a/src/control/store_health.rs
+++ b/src/control/store_health.rs
@@ -132,7 +132,7 @@
 
 /// Whether the store served a read: that changes are no longer available is a valid response, too.
 fn served<T>(res: &Result<T, ReadError>) -> bool {
-    matches!(res, Ok(_) | Err(ReadError::HistoryGone))
+    matches!(res, Ok(_) | Err(ReadError::HistoryExpired))
 }
 
 #[tide::utils::async_trait]
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -18,7 +18,7 @@
 use crate::admin::{self, Drain};
 use crate::kernel::clock::Clock;
 use crate::kernel::stop::{self, Stop};
-use crate::options::{Cell, EntryAddr, Timing};
+use crate::options::{Cell, EntrySpec, Timing};
 use crate::standin::client::Client;
 use crate::standin::tasks::RackCapacity;
 use async_std::sync::Mutex as AsyncMutex;
@@ -29,7 +29,7 @@
 /// One entry instance.
 pub struct Entry {
     /// Address, id and failure domain of the instance.
-    pub addr: EntryAddr,
+    pub addr: EntrySpec,
     /// Intervals and timeouts from the settings.
     pub timing: Timing,
     /// The process clock.
--- a/src/entry/route/link.rs
+++ b/src/entry/route/link.rs
@@ -4,7 +4,7 @@
 use super::{Pool, RunnerKey};
 use crate::kernel::clock::Millis;
 use crate::kernel::stop::Stop;
-use crate::options::RunnerAddr;
+use crate::options::RunnerSpec;
 use crate::wire::{self, Frame};
 use async_std::channel;
 use async_tungstenite::tungstenite::Message;
@@ -61,7 +61,7 @@
 /// A runner and its connection.
 #[derive(Debug)]
 pub(super) struct PooledRunner {
-    pub addr: RunnerAddr,
+    pub addr: RunnerSpec,
     pub link: Mutex<Link>,
 }
 
@@ -154,7 +154,7 @@
         let last_frame = runner.link.lock().unwrap().last_frame;
         if self.clock.now().saturating_sub(last_frame) >= self.timing.idle_ms {
             self.counts.unresponsive.fetch_add(1, Ordering::Relaxed);
-            log::warn!("runner {} connection unresponsive, closed", runner.addr.id);
+            log::warn!("runner {} connection silent, dropped", runner.addr.id);
             return Next::Close;
         }
         let _ = tx.try_send(Frame::Ping { nonce });
--- a/src/entry/route/mod.rs
+++ b/src/entry/route/mod.rs
@@ -14,7 +14,7 @@
 use crate::kernel::arena::Arena;
 use crate::kernel::clock::Clock;
 use crate::kernel::stop::Stop;
-use crate::options::{RunnerAddr, Timing};
+use crate::options::{RunnerSpec, Timing};
 use crate::wire::Frame;
 use futures::channel::oneshot;
 use futures::future;
@@ -103,7 +103,7 @@
 
 impl Pool {
     /// Creates a pool of `runners`, which [`Pool::run`] connects.
-    pub fn new(runners: &[RunnerAddr], domain: &str, timing: Timing, clock: Clock) -> Arc<Self> {
+    pub fn new(runners: &[RunnerSpec], domain: &str, timing: Timing, clock: Clock) -> Arc<Self> {
         let mut arena = Arena::default();
         for r in runners {
             arena.push(link::PooledRunner { addr: r.clone(), link: Mutex::default() });
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -15,9 +15,9 @@
     #[serde(default)]
     pub timing: Timing,
     /// Entry instances; each is a process of its own.
-    pub entries: Vec<EntryAddr>,
+    pub entries: Vec<EntrySpec>,
     /// Runner stand-ins (backend servers); each is a process of its own.
-    pub runners: Vec<RunnerAddr>,
+    pub runners: Vec<RunnerSpec>,
     /// Limits and service time of every runner.
     #[serde(default)]
     pub runner: RunnerSettings,
@@ -129,7 +129,7 @@
 /// Id, failure domain and address of an entry instance.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EntryAddr {
+pub struct EntrySpec {
     /// Id, unique in the cell.
     pub id: String,
     /// The failure domain that it serves.
@@ -141,7 +141,7 @@
 /// Id, failure domain and addresses of a runner stand-in.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RunnerAddr {
+pub struct RunnerSpec {
     /// Id, unique in the cell; also the name in the instance list.
     pub id: String,
     /// The failure domain in which it runs.
@@ -188,12 +188,12 @@
 
 impl Cell {
     /// The entry instance named `id`.
-    pub fn entry(&self, id: &str) -> Option<&EntryAddr> {
+    pub fn entry(&self, id: &str) -> Option<&EntrySpec> {
         self.entries.iter().find(|e| e.id == id)
     }
 
     /// The runner named `id`.
-    pub fn runner_addr(&self, id: &str) -> Option<&RunnerAddr> {
+    pub fn runner_addr(&self, id: &str) -> Option<&RunnerSpec> {
         self.runners.iter().find(|r| r.id == id)
     }
 
--- a/src/options/mod.rs
+++ b/src/options/mod.rs
@@ -7,7 +7,7 @@
 pub mod cell;
 mod check;
 
-pub use cell::{Cell, DomainSpec, EntryAddr, PlatformSettings, RunnerAddr, RunnerSettings, Timing};
+pub use cell::{Cell, DomainSpec, EntrySpec, PlatformSettings, RunnerSettings, RunnerSpec, Timing};
 
 use std::path::{Path, PathBuf};
 
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -7,7 +7,7 @@
 use crate::admin;
 use crate::kernel::clock::Clock;
 use crate::kernel::stop::Stop;
-use crate::options::{RunnerAddr, RunnerSettings};
+use crate::options::{RunnerSettings, RunnerSpec};
 use async_std::net::TcpListener;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
 /// Shared state of one runner process.
 pub struct Runner {
     /// Addresses, id and failure domain.
-    pub addr: RunnerAddr,
+    pub addr: RunnerSpec,
     settings: RunnerSettings,
     clock: Clock,
     /// One message for each free slot.
@@ -72,7 +72,7 @@
 
 impl Runner {
     /// A runner with `settings.slots` free slots.
-    pub fn new(addr: RunnerAddr, settings: RunnerSettings, clock: Clock) -> Arc<Self> {
+    pub fn new(addr: RunnerSpec, settings: RunnerSettings, clock: Clock) -> Arc<Self> {
         let (slot_tx, slots) = async_std::channel::bounded(settings.slots as usize);
         for _ in 0..settings.slots {
             let _ = slot_tx.try_send(());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use currantgw::kernel::res::Resources;
 use currantgw::kernel::stop::{self, Trigger};
 use currantgw::options::{
-    Cell, DomainSpec, EntryAddr, PlatformSettings, RunnerAddr, RunnerSettings, Timing,
+    Cell, DomainSpec, EntrySpec, PlatformSettings, RunnerSettings, RunnerSpec, Timing,
 };
 use currantgw::runner::Runner;
 use currantgw::standin::Platform;
@@ -55,14 +55,14 @@
             ..Timing::default()
         },
         entries: (0..entries)
-            .map(|i| EntryAddr {
+            .map(|i| EntrySpec {
                 id: format!("entry-{i}"),
                 domain: "a".into(),
                 listen: free_addr(),
             })
             .collect(),
         runners: (0..runners)
-            .map(|i| RunnerAddr {
+            .map(|i| RunnerSpec {
                 id: format!("runner-{i}"),
                 domain: "a".into(),
                 listen: free_addr(),
--- a/tests/common/table.rs
+++ b/tests/common/table.rs
@@ -94,9 +94,9 @@
             k.table == table && k.part == part && *k.key >= *from && to.is_none_or(|t| *k.key < *t)
         };
         let mut rows: Vec<Row> = st.rows.values().filter(|r| inside(&r.key)).cloned().collect();
-        let more = rows.len() > limit;
+        let has_more = rows.len() > limit;
         rows.truncate(limit);
-        Ok(Page { rows, more, version: st.version })
+        Ok(Page { rows, has_more, version: st.version })
     }
 
     async fn changes(&self, table: &str, after: u64, wait_ms: u64) -> Result<Changes, ReadError> {
--- a/tests/control_election.rs
+++ b/tests/control_election.rs
@@ -46,7 +46,7 @@
     ) -> Result<Page, ReadError> {
         let row = LeaderRow { node: "n".into(), life: 1, links: None, size: 1_000 };
         let row = Row { key: rows::leader_key(), value: rows::encode(&row), version: 5 };
-        Ok(Page { rows: vec![row], more: false, version: 7 })
+        Ok(Page { rows: vec![row], has_more: false, version: 7 })
     }
 
     async fn changes(&self, _: &str, _: u64, wait_ms: u64) -> Result<Changes, ReadError> {
--- a/tests/control_leader.rs
+++ b/tests/control_leader.rs
@@ -68,7 +68,7 @@
         _: usize,
     ) -> Result<Page, ReadError> {
         let rows = if table == "op" { vec![config()] } else { Vec::new() };
-        Ok(Page { rows, more: false, version: VERSION })
+        Ok(Page { rows, has_more: false, version: VERSION })
     }
 
     async fn changes(&self, _: &str, _: u64, wait_ms: u64) -> Result<Changes, ReadError> {
--- a/tests/control_mirror.rs
+++ b/tests/control_mirror.rs
@@ -55,7 +55,7 @@
         task::sleep(Duration::from_millis(ANSWER_MS)).await;
         let all = self.parts.get(part).into_iter().flatten();
         let rows = all.filter(|r| r.key.key.as_str() >= from).cloned().collect();
-        Ok(Page { rows, more: false, version })
+        Ok(Page { rows, has_more: false, version })
     }
 
     async fn changes(&self, _: &str, after: u64, _: u64) -> Result<Changes, ReadError> {
@@ -177,8 +177,8 @@
         let all = self.inner.parts.get(part).into_iter().flatten();
         let rest = all.filter(|r| r.key.table == table && r.key.key.as_str() >= from);
         let rows: Vec<Row> = rest.cloned().collect();
-        let more = rows.len() > limit;
-        Ok(Page { rows: rows.into_iter().take(limit).collect(), more, version: 10 })
+        let has_more = rows.len() > limit;
+        Ok(Page { rows: rows.into_iter().take(limit).collect(), has_more, version: 10 })
     }
 
     async fn changes(&self, table: &str, after: u64, _: u64) -> Result<Changes, ReadError> {
@@ -191,11 +191,11 @@
             return Ok(Changes { rows: Vec::new(), version: after });
         }
         if table == rows::JOBS && after < 50 {
-            return Err(ReadError::HistoryGone);
+            return Err(ReadError::HistoryExpired);
         }
         let progress = self.inner.parts.values().flatten();
         let progress = progress.filter(|r| r.key.table == rows::PROGRESS);
-        let gone = progress.map(|r| Change::Gone(r.key.clone()));
+        let gone = progress.map(|r| Change::Removed(r.key.clone()));
         let rows = if table == rows::PROGRESS { gone.collect() } else { Vec::new() };
         Ok(Changes { rows, version: 100 })
     }
--- a/tests/control_policy.rs
+++ b/tests/control_policy.rs
@@ -74,7 +74,7 @@
         rack: None,
         one_rack: false,
         suspect: false,
-        how: Placement::BestFit,
+        policy: Placement::BestFit,
         seed: 1,
     }
 }
--- a/tests/control_store_backlog.rs
+++ b/tests/control_store_backlog.rs
@@ -109,7 +109,7 @@
     batching.record_sent(PartitionScope::All, 0);
     batching.record_outcome(PartitionScope::All, false, 0, 1_000);
     assert!(!batching.is_expired(10_000) && batching.is_expired(10_001));
-    batching.acknowledged(5_000);
+    batching.record_ack(5_000);
     assert!(!batching.is_expired(15_000) && batching.is_expired(15_001));
 }
 
--- a/tests/unreadable_rows.rs
+++ b/tests/unreadable_rows.rs
@@ -42,7 +42,7 @@
         let matching = |r: &&Row| r.key.table == table && r.key.part == part && within(&r.key);
         Ok(Page {
             rows: self.rows.iter().filter(matching).cloned().collect(),
-            more: false,
+            has_more: false,
             version: 9,
         })
     }
