--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -102,13 +102,13 @@
     /// Version of the leader's row: the fencing token.
     pub fence: u64,
     /// Versions of the fence rows: conditions of every commit.
-    pub parts: [u64; partitions::COUNT],
+    pub fence_versions: [u64; partitions::COUNT],
 }
 
 impl Term {
     /// Version up to which tables have to be read to include everything stored in earlier terms.
     pub fn version(&self) -> u64 {
-        self.parts.iter().copied().max().unwrap_or(0).max(self.fence)
+        self.fence_versions.iter().copied().max().unwrap_or(0).max(self.fence)
     }
 }
 
@@ -363,8 +363,10 @@
                 seen.heartbeat = row.version;
                 seen.since = now;
                 seen.suspect = false;
-            } else if let Some(part) = Partition::all().find(|p| row.key == rows::fence_key(*p)) {
-                let known = &mut seen.fences[part.index()];
+            } else if let Some(partition) =
+                Partition::all().find(|p| row.key == rows::fence_key(*p))
+            {
+                let known = &mut seen.fences[partition.index()];
                 *known = row.version.max(*known);
             }
         }
@@ -405,17 +407,23 @@
     /// Fences every partition of the progress table against writes of earlier terms.
     async fn fence(&self, fence: u64) -> Option<Term> {
         let deadline = self.clock.mono() + FENCE_MS;
-        let all = Partition::all().map(|part| self.fence_part(part, fence, deadline));
+        let all =
+            Partition::all().map(|partition| self.fence_partition(partition, fence, deadline));
         let versions: Option<Vec<u64>> = future::join_all(all).await.into_iter().collect();
-        let parts = versions?.try_into().ok()?;
-        Some(Term { fence, parts })
+        let fence_versions = versions?.try_into().ok()?;
+        Some(Term { fence, fence_versions })
     }
 
     /// Fences a partition, and returns the version of its fence row; none if all attempts until
     /// `deadline`, local ms, failed, or a later term has fenced it.
-    async fn fence_part(&self, part: Partition, fence: u64, deadline: u64) -> Option<u64> {
-        let key = rows::fence_key(part);
-        let mut version = self.seen.lock().unwrap().fences[part.index()];
+    async fn fence_partition(
+        &self,
+        partition: Partition,
+        fence: u64,
+        deadline: u64,
+    ) -> Option<u64> {
+        let key = rows::fence_key(partition);
+        let mut version = self.seen.lock().unwrap().fences[partition.index()];
         loop {
             let put = vec![(key.clone(), rows::encode(&FenceRow(fence)))];
             let txn = Txn { expect: vec![(key.clone(), version)], put, remove: Vec::new() };
@@ -434,7 +442,7 @@
                 Err(e) => e,
             };
             if self.clock.mono() >= deadline {
-                log::warn!(part = part.name(), fence = fence, why:% = why; "part not fenced");
+                log::warn!(part = partition.name(), fence = fence, why:% = why; "part not fenced");
                 return None;
             }
             self.clock.sleep(RETRY_MS).await;
--- a/src/control/engine/advice.rs
+++ b/src/control/engine/advice.rs
@@ -141,8 +141,8 @@
 
     /// Number of steps of a partition with pending requests, of non-urgent queues or of urgent
     /// ones.
-    pub fn steps(&self, part: Partition, non_urgent: bool) -> usize {
-        self.steps.get(&(part, non_urgent)).copied().unwrap_or(0)
+    pub fn steps(&self, partition: Partition, non_urgent: bool) -> usize {
+        self.steps.get(&(partition, non_urgent)).copied().unwrap_or(0)
     }
 
     /// Whether another request of this kind would only wait for one of `connections` connections.
@@ -221,7 +221,7 @@
     /// with less would expire while it is stored, and its ticket would have to be requested again.
     pub(super) fn ticket_margin(&self, step: StepId) -> u64 {
         TICKET_MARGIN_MS
-            + self.storing.commit_ms(Partition::of(step.job)).min(MAX_STORING_MARGIN_MS)
+            + self.store_backlog.commit_ms(Partition::of(step.job)).min(MAX_STORING_MARGIN_MS)
     }
 
     /// Handles the advice service's answer to a request that named `ids`.
--- a/src/control/engine/commit.rs
+++ b/src/control/engine/commit.rs
@@ -141,8 +141,8 @@
     }
 
     /// Whether a partition has changes to store of which no write is pending.
-    pub fn wants_commit(&self, part: Partition) -> bool {
-        self.unstored(PartitionScope::One(part)).next().is_some()
+    pub fn wants_commit(&self, partition: Partition) -> bool {
+        self.unstored(PartitionScope::One(partition)).next().is_some()
     }
 
     /// Jobs with changes to store of which no write is pending, each with its position in the order
@@ -165,8 +165,13 @@
     fn stored(&mut self, batch: &Batch, version: u64, now: Now) {
         let mut rows = [0; partitions::COUNT];
         batch.writes.iter().for_each(|w| rows[Partition::of(w.job).index()] += 1);
-        for part in Partition::all().filter(|p| rows[p.index()] > 0) {
-            self.storing.record_commit(part, rows[part.index()], batch.at, now.mono);
+        for partition in Partition::all().filter(|p| rows[p.index()] > 0) {
+            self.store_backlog.record_commit(
+                partition,
+                rows[partition.index()],
+                batch.at,
+                now.mono,
+            );
         }
         for w in &batch.writes {
             let Some(job) = self.jobs.get_mut(&w.job) else { continue };
--- a/src/control/engine/mod.rs
+++ b/src/control/engine/mod.rs
@@ -179,7 +179,7 @@
     /// Pending advice requests.
     advice_requests: advice::AdviceRequests,
     /// Placements that are not stored yet.
-    storing: store_backlog::Storing,
+    store_backlog: store_backlog::StoreBacklog,
     /// Share of the named runners that each queue's policy approves on average.
     approval_rates: BTreeMap<String, advice::ApprovalRate>,
     /// Run-time model of each queue.
@@ -218,7 +218,7 @@
             provisional: BTreeMap::new(),
             broken_gangs: BTreeSet::new(),
             advice_requests: advice::AdviceRequests::default(),
-            storing: store_backlog::Storing::default(),
+            store_backlog: store_backlog::StoreBacklog::default(),
             approval_rates: BTreeMap::new(),
             run_times: BTreeMap::new(),
             loss_rate: LossRate::default(),
--- a/src/control/engine/store_backlog.rs
+++ b/src/control/engine/store_backlog.rs
@@ -37,7 +37,7 @@
 
 /// Jobs with placements that are not stored, by partition and whether their queue is non-urgent.
 #[derive(Debug, Default)]
-pub(super) struct Storing {
+pub(super) struct StoreBacklog {
     waiting: BTreeMap<(Partition, bool), BTreeSet<(u64, JobId)>>,
     performance: [WritePerformance; partitions::COUNT],
 }
@@ -53,15 +53,15 @@
     rate: u64,
 }
 
-impl Storing {
+impl StoreBacklog {
     /// Duration of the last commit to a partition, ms; 0 before the first.
-    pub fn commit_ms(&self, part: Partition) -> u64 {
-        self.performance[part.index()].took
+    pub fn commit_ms(&self, partition: Partition) -> u64 {
+        self.performance[partition.index()].took
     }
 
     /// Records that a commit sent at `sent` stored `rows` rows of a partition.
-    pub fn record_commit(&mut self, part: Partition, rows: usize, sent: u64, now: u64) {
-        let latest = &mut self.performance[part.index()];
+    pub fn record_commit(&mut self, partition: Partition, rows: usize, sent: u64, now: u64) {
+        let latest = &mut self.performance[partition.index()];
         let took = now.saturating_sub(sent);
         // For transactions that are carried out one after the other, the time counts from the end
         // of the previous one.
@@ -70,8 +70,8 @@
     }
 
     /// Maximum number of pending jobs of a partition; unlimited before the first commit.
-    fn window(&self, part: Partition) -> u64 {
-        match self.performance[part.index()] {
+    fn window(&self, partition: Partition) -> u64 {
+        match self.performance[partition.index()] {
             WritePerformance { ended: 0, .. } => u64::MAX,
             latest => (latest.rate * WINDOW_MS / 1_000).max(MIN_WINDOW),
         }
@@ -79,13 +79,13 @@
 
     /// Number of jobs of a partition with placements that wait, of non-urgent queues or of urgent
     /// ones.
-    fn count(&self, part: Partition, non_urgent: bool) -> usize {
-        self.waiting.get(&(part, non_urgent)).map_or(0, BTreeSet::len)
+    fn count(&self, partition: Partition, non_urgent: bool) -> usize {
+        self.waiting.get(&(partition, non_urgent)).map_or(0, BTreeSet::len)
     }
 
     /// Whether a placement of a partition has waited too long.
-    fn late(&self, part: Partition, non_urgent: bool, now: u64) -> bool {
-        let first = self.waiting.get(&(part, non_urgent)).and_then(BTreeSet::first);
+    fn late(&self, partition: Partition, non_urgent: bool, now: u64) -> bool {
+        let first = self.waiting.get(&(partition, non_urgent)).and_then(BTreeSet::first);
         first.is_some_and(|(at, _)| at + STORE_LATE_MS <= now)
     }
 }
@@ -93,12 +93,14 @@
 impl Engine {
     /// Whether nothing is decided for a job now, since earlier decisions wait for the store.
     pub(super) fn store_busy(&self, id: JobId, non_urgent: bool, now: Now) -> bool {
-        let part = Partition::of(id);
+        let partition = Partition::of(id);
         let pending = |non_urgent| {
-            self.storing.count(part, non_urgent) + self.advice_requests.steps(part, non_urgent)
+            self.store_backlog.count(partition, non_urgent)
+                + self.advice_requests.steps(partition, non_urgent)
         };
         let all = pending(false) + if non_urgent { pending(true) } else { 0 };
-        all as u64 >= self.storing.window(part) || self.storing.late(part, non_urgent, now.mono)
+        all as u64 >= self.store_backlog.window(partition)
+            || self.store_backlog.late(partition, non_urgent, now.mono)
     }
 
     /// Records a placement that has to be stored with revision `rev` of its job.
@@ -106,7 +108,8 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.unstored.is_none() {
             job.unstored = Some(Unstored { at: now.mono, rev, non_urgent });
-            let waiting = self.storing.waiting.entry((Partition::of(id), non_urgent)).or_default();
+            let waiting =
+                self.store_backlog.waiting.entry((Partition::of(id), non_urgent)).or_default();
             waiting.insert((now.mono, id));
         }
     }
@@ -118,7 +121,7 @@
         let Some(unstored) = job.unstored.take_if(|u| u.rev <= rev) else { return };
         let newest = job.newest_placement();
         if let Some(waiting) =
-            self.storing.waiting.get_mut(&(Partition::of(id), unstored.non_urgent))
+            self.store_backlog.waiting.get_mut(&(Partition::of(id), unstored.non_urgent))
         {
             waiting.remove(&(unstored.at, id));
         }
--- a/src/control/leader/calls.rs
+++ b/src/control/leader/calls.rs
@@ -92,10 +92,10 @@
         batch: Batch,
     ) -> BoxFuture<'_, Event> {
         async move {
-            let parts: BTreeSet<Partition> =
+            let partitions: BTreeSet<Partition> =
                 batch.writes.iter().map(|w| Partition::of(w.job)).collect();
-            let fence = |p: &Partition| (rows::fence_key(*p), term.parts[p.index()]);
-            let expect = parts.iter().map(fence).collect();
+            let fence = |p: &Partition| (rows::fence_key(*p), term.fence_versions[p.index()]);
+            let expect = partitions.iter().map(fence).collect();
             let mut txn = Txn { expect, ..Txn::default() };
             for w in &batch.writes {
                 let key = rows::progress_key(w.job);
@@ -112,7 +112,7 @@
                     let matches = |(key, version): (Key, u64)| {
                         found.iter().any(|r| r.key == key && r.version == version)
                     };
-                    if !parts.iter().map(fence).all(matches) {
+                    if !partitions.iter().map(fence).all(matches) {
                         return Event::Replaced;
                     }
                     log::info!(rows = batch.writes.len(); "commit conflicts with an earlier write of this scheduler");
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -99,7 +99,7 @@
     }
 
     /// Names of its partitions.
-    fn parts(self) -> Vec<String> {
+    fn partitions(self) -> Vec<String> {
         match self {
             // All possible partitions, rather than a listing: this instance would miss the jobs of
             // a partition that is first written to between the listing and the reads.
@@ -395,9 +395,9 @@
         let mut st = self.state.lock().unwrap();
         let now = self.clock.mono();
         st.readings.entry(table).or_insert_with(|| {
-            let parts = table.parts();
-            log::info!(table = table.name(), parts = parts.len(); "reading a table");
-            Reading::new(parts, now)
+            let partitions = table.partitions();
+            log::info!(table = table.name(), parts = partitions.len(); "reading a table");
+            Reading::new(partitions, now)
         });
     }
 
@@ -405,25 +405,27 @@
     /// leaves the link free for other traffic.
     async fn read_slice(&self, table: Table) -> Result<u64, ReadError> {
         let slice = self.state.lock().unwrap().slice(table);
-        let (parts, limit) = slice.ok_or(ReadError::HistoryExpired)?;
+        let (partitions, limit) = slice.ok_or(ReadError::HistoryExpired)?;
         let sent = self.clock.mono();
         let name = table.name();
-        let reads = parts.iter().map(|(part, from)| self.store.page(name, part, from, None, limit));
+        let reads = partitions
+            .iter()
+            .map(|(partition, from)| self.store.page(name, partition, from, None, limit));
         let pages = futures::future::join_all(reads).await;
         let ms = self.clock.mono() - sent;
         let mut st = self.state.lock().unwrap();
         let (mut rows, mut bytes, mut failed) = (0, 0, None);
-        for ((part, _), page) in parts.iter().zip(pages) {
+        for ((partition, _), page) in partitions.iter().zip(pages) {
             match page {
                 Ok(page) => {
                     let sizes = page.rows.iter().map(|r| reading::wire_size(r.value.len()));
                     bytes += sizes.sum::<usize>();
                     rows += page.rows.len();
-                    st.apply_page(table, part, page);
+                    st.apply_page(table, partition, page);
                 }
                 Err(e) => {
                     if let Some(reading) = st.readings.get_mut(&table) {
-                        reading.move_to_back(part);
+                        reading.move_to_back(partition);
                     }
                     failed = Some(e);
                 }
--- a/src/control/mirror/reading.rs
+++ b/src/control/mirror/reading.rs
@@ -67,10 +67,9 @@
 }
 
 impl SliceSizer {
-    /// Number of reads of the next slice where `parts` partitions remain, and rows to request in
-    /// each.
-    pub fn next_reads(&self, parts: usize) -> (usize, usize) {
-        let reads = (self.budget / (MIN_ROWS * self.row)).min(parts).clamp(1, MAX_READS);
+    /// Number of reads of the next slice with `partitions` remaining, and rows to request in each.
+    pub fn next_reads(&self, partitions: usize) -> (usize, usize) {
+        let reads = (self.budget / (MIN_ROWS * self.row)).min(partitions).clamp(1, MAX_READS);
         let rows = (self.budget / reads / self.row).clamp(MIN_ROWS, MAX_ROWS);
         (reads, rows)
     }
@@ -117,25 +116,25 @@
 }
 
 impl Reading {
-    /// A full read of the partitions `parts` that begins at `now`, local ms.
-    pub fn new(parts: Vec<String>, now: u64) -> Self {
-        let remaining = parts.into_iter().map(|p| (p, String::new())).collect();
+    /// A full read of `partitions` that begins at `now`, local ms.
+    pub fn new(partitions: Vec<String>, now: u64) -> Self {
+        let remaining = partitions.into_iter().map(|p| (p, String::new())).collect();
         Self { remaining, feed_polled: now, began: now, ..Self::default() }
     }
 
     /// Moves a partition whose read failed behind the others: an unavailable partition must not
     /// keep the rest of the table from being read.
-    pub fn move_to_back(&mut self, part: &str) {
-        if let Some(at) = self.remaining.iter().position(|(p, _)| p == part) {
+    pub fn move_to_back(&mut self, partition: &str) {
+        if let Some(at) = self.remaining.iter().position(|(p, _)| p == partition) {
             let failed = self.remaining.remove(at);
             self.remaining.extend(failed);
         }
     }
 
     /// Records a page of a partition; `next` is the key of its last row if more rows follow.
-    pub fn record_page(&mut self, part: &str, rows: usize, next: Option<String>) {
+    pub fn record_page(&mut self, partition: &str, rows: usize, next: Option<String>) {
         self.rows += rows;
-        let Some(at) = self.remaining.iter().position(|(p, _)| p == part) else { return };
+        let Some(at) = self.remaining.iter().position(|(p, _)| p == partition) else { return };
         match next {
             Some(key) => self.remaining[at].1 = key,
             None => drop(self.remaining.remove(at)),
--- a/src/control/mirror/state.rs
+++ b/src/control/mirror/state.rs
@@ -108,7 +108,7 @@
     }
 
     /// Applies a page of a table that is being read.
-    pub fn apply_page(&mut self, table: Table, part: &str, page: Page) {
+    pub fn apply_page(&mut self, table: Table, partition: &str, page: Page) {
         if !self.readings.contains_key(&table) {
             // The table was discarded while the page was in flight.
             return;
@@ -127,7 +127,7 @@
             self.put(table, row);
         }
         if let Some(reading) = self.readings.get_mut(&table) {
-            reading.record_page(part, count, next);
+            reading.record_page(partition, count, next);
         }
     }
 
--- a/src/control/partitions.rs
+++ b/src/control/partitions.rs
@@ -60,7 +60,7 @@
     pub fn jobs(self) -> RangeInclusive<JobId> {
         match self {
             Self::All => JobId(0)..=JobId(u64::MAX),
-            Self::One(part) => part.jobs(),
+            Self::One(partition) => partition.jobs(),
         }
     }
 }
--- a/src/control/rows.rs
+++ b/src/control/rows.rs
@@ -259,8 +259,8 @@
 }
 
 /// Key of the row with the fencing token of a partition.
-pub fn fence_key(part: Partition) -> Key {
-    Key::new(ELECTION, &part.name(), "fence")
+pub fn fence_key(partition: Partition) -> Key {
+    Key::new(ELECTION, &partition.name(), "fence")
 }
 
 /// Meaning of a key of the jobs table.
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -110,10 +110,10 @@
         let mut queues = Vec::new();
         let mut all_dependencies = Vec::new();
         let mut writers = Vec::new();
-        for part in 0..rows::JOB_PARTITIONS {
+        for partition in 0..rows::JOB_PARTITIONS {
             let (tx, rx) = channel::bounded(QUEUE_CAPACITY);
             queues.push(tx);
-            let name = format!("store, submissions, part {}", rows::partition_name(part));
+            let name = format!("store, submissions, part {}", rows::partition_name(partition));
             let dependency = Arc::new(Dependency::new(name, clock.clone()));
             all_dependencies.push(dependency.clone());
             let (store, mirror, link) = (store.clone(), mirror.clone(), link.clone());
--- a/tests/control_election.rs
+++ b/tests/control_election.rs
@@ -90,7 +90,7 @@
     });
     let term = election.campaign(|| false, || able.load(Ordering::Relaxed)).await;
     let waited = setter.await.elapsed().as_millis() as u64;
-    assert_eq!(term, Term { fence: FENCE, parts: [FENCE; partitions::COUNT] });
+    assert_eq!(term, Term { fence: FENCE, fence_versions: [FENCE; partitions::COUNT] });
     assert!(waited < ELECTED_MS, "elected {waited} ms after it could be");
 }
 
@@ -102,7 +102,7 @@
 
 /// Whether a transaction with a term's fence of a partition is applied.
 async fn may_write(store: &MemoryStore, term: &Term, part: Partition) -> bool {
-    let expect = vec![(rows::fence_key(part), term.parts[part.index()])];
+    let expect = vec![(rows::fence_key(part), term.fence_versions[part.index()])];
     let put = vec![(rows::progress_key(JobId(part.jobs().start().0 | 1)), Vec::new())];
     let txn = Txn { expect, put, remove: Vec::new() };
     matches!(store.commit(&txn, 1_000).await, Ok(Commit::Done(_)))
