--- a/src/control/election.rs
+++ b/src/control/election.rs
@@ -1,7 +1,7 @@
 //! Leader election: one row names the leader, and is replaced by a conditional write.
 //!
 //! Nothing in the store expires, so candidates watch a second row, the leader's heartbeat. A
-//! candidate that sees it unchanged for [`TAKEOVER_MS`] writes itself as leader, under the
+//! candidate that sees it unchanged for `TAKEOVER_MS` writes itself as leader, under the
 //! condition that both rows are still as it saw them; a leader that still sends heartbeats makes
 //! that write fail. The version of the leader's row is the fencing token. A leader that has not
 //! noticed its replacement cannot store a heartbeat, which has the leader's row as a condition, and
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -137,7 +137,7 @@
         self.state.lock().unwrap().catalogue.clone()
     }
 
-    /// Timeout of a write, ms: between `least` and [`MAX_WRITE_MS`], many times the current latency
+    /// Timeout of a write, ms: between `least` and `MAX_WRITE_MS`, many times the current latency
     /// of the store. A fixed timeout would be too long for an instance that has been cut off, or
     /// too short for a slow store, which would then execute both the write and its retry. While the
     /// store is unresponsive the timeout is short: an attempt still in flight when the store
--- a/src/control/rows.rs
+++ b/src/control/rows.rs
@@ -61,7 +61,7 @@
     /// More failures than there are attempt numbers.
     #[error("more than {} failures", Attempt::LAST)]
     Fails,
-    /// A size beyond [`MAX_SIZE`].
+    /// A size beyond `MAX_SIZE`.
     #[error("size beyond {MAX_SIZE}")]
     Size,
 }
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -1,10 +1,10 @@
 //! The scheduler of one entry instance.
 //!
 //! Each round polls the workers of the shards held, which extends task leases and returns
-//! completions, and plans on cached rows ([`plan`], [`completions`], [`serve`] and the modules that
-//! they call). It commits the changes of all shards in one fenced transaction ([`commit`]), because
+//! completions, and plans on cached rows (`plan`, `completions`, `serve` and the modules that
+//! they call). It commits the changes of all shards in one fenced transaction (`commit`), because
 //! the table's write budget is the scarcest resource, and then sends the starts and stops
-//! ([`orders`]). A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its
+//! (`orders`). A newly acquired shard is loaded (`load`) and reconciled with the tasks that its
 //! workers report as running.
 
 mod commit;
