--- a/src/cli.rs
+++ b/src/cli.rs
@@ -292,8 +292,8 @@
 
 async fn run_runner(cell: &Cell, id: &str, level: log::LevelFilter) -> eyre::Result<()> {
     let (clock, stop, _signals) = init_daemon("runner", id, level).await?;
-    let addr = cell.runner_addr(id).ok_or_else(|| eyre::eyre!("no runner {id} in the settings"))?;
-    crate::runner::Runner::new(addr.clone(), cell.runner.clone(), clock).serve(stop).await
+    let runner = cell.runner(id).ok_or_else(|| eyre::eyre!("no runner {id} in the settings"))?;
+    crate::runner::Runner::new(runner.clone(), cell.runner.clone(), clock).serve(stop).await
 }
 
 /// Prints the catalogue, or applies an edit to the present version.
--- a/src/control/engine/store_backlog.rs
+++ b/src/control/engine/store_backlog.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct WritePerformance {
     /// Duration of the last commit, ms.
-    took: u64,
+    commit_ms: u64,
     /// When it ended, local ms.
     ended: u64,
     /// Rows a second, by the last commit.
@@ -56,17 +56,17 @@
 impl StoreBacklog {
     /// Duration of the last commit to a partition, ms; 0 before the first.
     pub fn commit_ms(&self, partition: Partition) -> u64 {
-        self.performance[partition.index()].took
+        self.performance[partition.index()].commit_ms
     }
 
     /// Records that a commit sent at `sent` stored `rows` rows of a partition.
     pub fn record_commit(&mut self, partition: Partition, rows: usize, sent: u64, now: u64) {
         let latest = &mut self.performance[partition.index()];
-        let took = now.saturating_sub(sent);
+        let commit_ms = now.saturating_sub(sent);
         // For transactions that are carried out one after the other, the time counts from the end
         // of the previous one.
-        let span = took.min(now.saturating_sub(latest.ended)).max(1);
-        *latest = WritePerformance { took, ended: now, rate: rows as u64 * 1_000 / span };
+        let span = commit_ms.min(now.saturating_sub(latest.ended)).max(1);
+        *latest = WritePerformance { commit_ms, ended: now, rate: rows as u64 * 1_000 / span };
     }
 
     /// Maximum number of pending jobs of a partition; unlimited before the first commit.
--- a/src/http.rs
+++ b/src/http.rs
@@ -49,7 +49,7 @@
 }
 
 /// Opens a connection with `TCP_NODELAY` that is closed if the remote side is unreachable for
-/// [`UNACKED_MS`].
+/// `UNACKED_MS`.
 pub async fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
@@ -131,7 +131,7 @@
     }
 
     /// Reads a large answer from `addr`: waits at most `ms` for its head and for each further part,
-    /// and [`MAX_ANSWER_WAITS`] times `ms` for all of it. A limit of `ms` for the whole would
+    /// and `MAX_ANSWER_WAITS` times `ms` for all of it. A limit of `ms` for the whole would
     /// depend on the size and the network: at 10 Mbit/s an answer of 2 MB takes 1.6 s. If it timed
     /// out earlier, the request would be repeated, and unused answers would fill the network.
     pub async fn fetch(&self, addr: SocketAddr, path: &str, ms: u64) -> Result<Reply, CallError> {
--- a/src/options/cell.rs
+++ b/src/options/cell.rs
@@ -193,7 +193,7 @@
     }
 
     /// The runner named `id`.
-    pub fn runner_addr(&self, id: &str) -> Option<&RunnerSpec> {
+    pub fn runner(&self, id: &str) -> Option<&RunnerSpec> {
         self.runners.iter().find(|r| r.id == id)
     }
 
--- a/tests/common/control/store.rs
+++ b/tests/common/control/store.rs
@@ -47,13 +47,13 @@
     fn store_time(&mut self, scope: PartitionScope) -> (u64, u64) {
         let Some(times) = self.times else { return (ONE_WAY_MS, ONE_WAY_MS) };
         let half = times.round_trip / 2;
-        let (parts, takes): (Vec<Partition>, u64) = match scope {
+        let (partitions, takes): (Vec<Partition>, u64) = match scope {
             PartitionScope::All => (Partition::all().collect(), 2 * times.txn),
-            PartitionScope::One(part) => (vec![part], times.txn),
+            PartitionScope::One(partition) => (vec![partition], times.txn),
         };
-        let free = parts.iter().map(|p| self.free[p.index()]).max().unwrap_or(0);
+        let free = partitions.iter().map(|p| self.free[p.index()]).max().unwrap_or(0);
         let done = free.max(self.now + half) + takes;
-        parts.iter().for_each(|p| self.free[p.index()] = done);
+        partitions.iter().for_each(|p| self.free[p.index()] = done);
         (done - self.now, half)
     }
 
--- a/tests/common/table.rs
+++ b/tests/common/table.rs
@@ -26,8 +26,8 @@
 
 impl MemoryStore {
     /// Makes exactly these partitions unavailable: transactions that write to them fail.
-    pub fn set_unavailable(&self, parts: impl IntoIterator<Item = String>) {
-        self.state.lock().unwrap().unavailable = parts.into_iter().collect();
+    pub fn set_unavailable(&self, partitions: impl IntoIterator<Item = String>) {
+        self.state.lock().unwrap().unavailable = partitions.into_iter().collect();
     }
 
     /// Writes a row without conditions, like another instance, and returns its version.
@@ -84,14 +84,17 @@
     async fn page(
         &self,
         table: &str,
-        part: &str,
+        partition: &str,
         from: &str,
         to: Option<&str>,
         limit: usize,
     ) -> Result<Page, ReadError> {
         let st = self.state.lock().unwrap();
         let inside = |k: &Key| {
-            k.table == table && k.part == part && *k.key >= *from && to.is_none_or(|t| *k.key < *t)
+            k.table == table
+                && k.part == partition
+                && *k.key >= *from
+                && to.is_none_or(|t| *k.key < *t)
         };
         let mut rows: Vec<Row> = st.rows.values().filter(|r| inside(&r.key)).cloned().collect();
         let has_more = rows.len() > limit;
--- a/tests/common/users.rs
+++ b/tests/common/users.rs
@@ -139,8 +139,8 @@
     }
 
     /// Sets the partition of the store that refuses writes, or none.
-    pub fn set_lost_partition(&self, part: Option<&str>) {
-        self.store.lock().unwrap().lost_partition = part.map(str::to_string);
+    pub fn set_lost_partition(&self, partition: Option<&str>) {
+        self.store.lock().unwrap().lost_partition = partition.map(str::to_string);
     }
 
     /// Whether a transaction writes to the partition that refuses writes.
--- a/tests/control_election.rs
+++ b/tests/control_election.rs
@@ -101,9 +101,9 @@
 }
 
 /// Whether a transaction with a term's fence of a partition is applied.
-async fn may_write(store: &MemoryStore, term: &Term, part: Partition) -> bool {
-    let expect = vec![(rows::fence_key(part), term.fence_versions[part.index()])];
-    let put = vec![(rows::progress_key(JobId(part.jobs().start().0 | 1)), Vec::new())];
+async fn may_write(store: &MemoryStore, term: &Term, partition: Partition) -> bool {
+    let expect = vec![(rows::fence_key(partition), term.fence_versions[partition.index()])];
+    let put = vec![(rows::progress_key(JobId(partition.jobs().start().0 | 1)), Vec::new())];
     let txn = Txn { expect, put, remove: Vec::new() };
     matches!(store.commit(&txn, 1_000).await, Ok(Commit::Done(_)))
 }
@@ -116,15 +116,15 @@
 async fn a_new_leader_fences_every_partition_against_the_last_one() {
     let store = Arc::new(MemoryStore::default());
     let first = campaign(&store).await;
-    for part in Partition::all() {
-        assert!(may_write(&store, &first, part).await);
+    for partition in Partition::all() {
+        assert!(may_write(&store, &first, partition).await);
     }
     // Another incarnation of the same instance doesn't wait for missing heartbeats.
     let second = campaign(&store).await;
     assert!(second.fence > first.fence && second.version() > first.version());
-    for part in Partition::all() {
-        assert!(!may_write(&store, &first, part).await, "{}", part.name());
-        assert!(may_write(&store, &second, part).await, "{}", part.name());
+    for partition in Partition::all() {
+        assert!(!may_write(&store, &first, partition).await, "{}", partition.name());
+        assert!(may_write(&store, &second, partition).await, "{}", partition.name());
     }
 }
 
@@ -152,8 +152,8 @@
 #[async_std::test]
 async fn a_fence_of_a_later_term_is_kept() {
     let store = Arc::new(MemoryStore::default());
-    let part = Partition::all().nth(5).unwrap();
-    store.set_unavailable([part.name()]);
+    let partition = Partition::all().nth(5).unwrap();
+    store.set_unavailable([partition.name()]);
     let waiting = {
         let store = store.clone();
         task::spawn(async move { campaign(&store).await })
@@ -161,10 +161,10 @@
     task::sleep(Duration::from_millis(300)).await;
     let other = LeaderRow { node: "other".into(), life: 1, links: None, size: 1_000 };
     let token = store.put(rows::leader_key(), rows::encode(&other));
-    let fenced = store.put(rows::fence_key(part), rows::encode(&FenceRow(token)));
+    let fenced = store.put(rows::fence_key(partition), rows::encode(&FenceRow(token)));
     store.set_unavailable([]);
     task::sleep(Duration::from_millis(500)).await;
-    assert_eq!(store.row(&rows::fence_key(part)).unwrap().version, fenced);
+    assert_eq!(store.row(&rows::fence_key(partition)).unwrap().version, fenced);
     waiting.cancel().await;
 }
 
@@ -173,9 +173,9 @@
 async fn an_unreadable_or_impossible_fence_is_replaced() {
     for value in [rows::encode(&FenceRow(u64::MAX)), b"junk".to_vec()] {
         let store = Arc::new(MemoryStore::default());
-        let part = Partition::all().nth(5).unwrap();
-        store.put(rows::fence_key(part), value);
+        let partition = Partition::all().nth(5).unwrap();
+        store.put(rows::fence_key(partition), value);
         let term = campaign(&store).await;
-        assert!(may_write(&store, &term, part).await);
+        assert!(may_write(&store, &term, partition).await);
     }
 }
--- a/tests/control_mirror.rs
+++ b/tests/control_mirror.rs
@@ -19,21 +19,21 @@
 
 /// A slow store of jobs whose version rises with every read, as under concurrent writes.
 struct Slow {
-    parts: BTreeMap<String, Vec<Row>>,
+    partitions: BTreeMap<String, Vec<Row>>,
     version: AtomicU64,
 }
 
 impl Slow {
     fn with_jobs(ids: &[JobId]) -> Self {
-        let mut parts: BTreeMap<String, Vec<Row>> = BTreeMap::new();
+        let mut partitions: BTreeMap<String, Vec<Row>> = BTreeMap::new();
         for &id in ids {
             let steps = vec![Step { count: 1, ..Step::default() }];
             let spec = JobSpec { steps, ..JobSpec::default() };
             let row = JobRow { queue: "q".into(), at: 1, spec };
             let row = Row { key: rows::job_key(id), value: rows::encode(&row), version: 5 };
-            parts.entry(row.key.part.clone()).or_default().push(row);
+            partitions.entry(row.key.part.clone()).or_default().push(row);
         }
-        Self { parts, version: AtomicU64::new(10) }
+        Self { partitions, version: AtomicU64::new(10) }
     }
 }
 
@@ -46,14 +46,14 @@
     async fn page(
         &self,
         _: &str,
-        part: &str,
+        partition: &str,
         from: &str,
         _: Option<&str>,
         _: usize,
     ) -> Result<Page, ReadError> {
         let version = self.version.fetch_add(1, Ordering::Relaxed);
         task::sleep(Duration::from_millis(ANSWER_MS)).await;
-        let all = self.parts.get(part).into_iter().flatten();
+        let all = self.partitions.get(partition).into_iter().flatten();
         let rows = all.filter(|r| r.key.key.as_str() >= from).cloned().collect();
         Ok(Page { rows, has_more: false, version })
     }
@@ -72,9 +72,9 @@
 
 #[test]
 fn ids_spread_over_all_partitions() {
-    let parts: BTreeSet<String> =
+    let partitions: BTreeSet<String> =
         one_per_partition().into_iter().map(rows::job_partition).collect();
-    assert_eq!(parts.len() as u64, rows::JOB_PARTITIONS);
+    assert_eq!(partitions.len() as u64, rows::JOB_PARTITIONS);
 }
 
 /// Guards against an instance without jobs for many seconds when it starts while the store is slow:
@@ -156,7 +156,7 @@
     async fn page(
         &self,
         table: &str,
-        part: &str,
+        partition: &str,
         from: &str,
         _: Option<&str>,
         limit: usize,
@@ -165,7 +165,7 @@
         if self.has_fault(Fault::JobRemoved) {
             return Ok(Page { version: 100, ..Page::default() });
         }
-        if self.has_fault(Fault::PartitionLost) && part == rows::partition_name(0) {
+        if self.has_fault(Fault::PartitionLost) && partition == rows::partition_name(0) {
             return Err(ReadError::Refused(503));
         }
         if self.has_fault(Fault::ReadsFail) {
@@ -174,7 +174,7 @@
                 return Err(ReadError::Unreachable("timed out".into()));
             }
         }
-        let all = self.inner.parts.get(part).into_iter().flatten();
+        let all = self.inner.partitions.get(partition).into_iter().flatten();
         let rest = all.filter(|r| r.key.table == table && r.key.key.as_str() >= from);
         let rows: Vec<Row> = rest.cloned().collect();
         let has_more = rows.len() > limit;
@@ -193,7 +193,7 @@
         if table == rows::JOBS && after < 50 {
             return Err(ReadError::HistoryExpired);
         }
-        let progress = self.inner.parts.values().flatten();
+        let progress = self.inner.partitions.values().flatten();
         let progress = progress.filter(|r| r.key.table == rows::PROGRESS);
         let gone = progress.map(|r| Change::Removed(r.key.clone()));
         let rows = if table == rows::PROGRESS { gone.collect() } else { Vec::new() };
@@ -227,7 +227,7 @@
 async fn a_job_deleted_while_the_feed_history_expires_is_removed() {
     let id = one_per_partition()[3];
     let mut inner = Slow::with_jobs(&[id]);
-    inner.parts.extend(ended_jobs([id].into_iter()));
+    inner.partitions.extend(ended_jobs([id].into_iter()));
     let store = Faulty::new(inner, Fault::JobRemoved, Clock::real());
     let mirror = mirror_of(&store);
     for table in [Table::Jobs, Table::Progress] {
@@ -267,7 +267,7 @@
 #[async_std::test]
 async fn the_feed_is_polled_although_reads_fail() {
     let mut inner = Slow::with_jobs(&[]);
-    inner.parts.extend(ended_jobs((1..8_000).map(JobId)));
+    inner.partitions.extend(ended_jobs((1..8_000).map(JobId)));
     let store = Faulty::new(inner, Fault::ReadsFail, Clock::real());
     store.active.store(true, Ordering::Relaxed);
     let mirror = mirror_of(&store);
--- a/tests/control_path.rs
+++ b/tests/control_path.rs
@@ -240,8 +240,8 @@
         for n in 0..5 {
             assert_eq!(cell.submit(0, "plain", &format!("00000000000000f{n}"), 1).await.0, 200);
         }
-        let parts = cell.dump(0).await["parts_lost"].clone();
-        assert_eq!(parts, json!(["store, submissions, part 3f"]));
+        let lost_partitions = cell.dump(0).await["parts_lost"].clone();
+        assert_eq!(lost_partitions, json!(["store, submissions, part 3f"]));
     })
     .await;
     assert_eq!(refused.0, 503);
--- a/tests/control_roles.rs
+++ b/tests/control_roles.rs
@@ -137,12 +137,12 @@
     async fn page(
         &self,
         table: &str,
-        part: &str,
+        partition: &str,
         from: &str,
         to: Option<&str>,
         limit: usize,
     ) -> Result<Page, ReadError> {
-        self.0.page(table, part, from, to, limit).await
+        self.0.page(table, partition, from, to, limit).await
     }
 
     async fn changes(&self, table: &str, after: u64, _: u64) -> Result<Changes, ReadError> {
--- a/tests/control_store_backlog.rs
+++ b/tests/control_store_backlog.rs
@@ -24,7 +24,7 @@
 /// Approval costs of the queue of lookups: a request takes 30 ms.
 const LOOKUPS: Approval = Approval { base_ms: 20.0, each_ms: 1.0, valid_ms: 2_000 };
 
-fn part(n: usize) -> Partition {
+fn partition(n: usize) -> Partition {
     Partition::all().nth(n).unwrap()
 }
 
@@ -48,7 +48,10 @@
     assert!(batching.next(|_| false, 0).is_none());
     assert_eq!(start_commits(&mut batching, |_| true, 0), [PartitionScope::All; 3]);
     batching.record_outcome(PartitionScope::All, true, 0, QUICK_MS);
-    assert_eq!(start_commits(&mut batching, |p| p == part(3), QUICK_MS), [PartitionScope::All]);
+    assert_eq!(
+        start_commits(&mut batching, |p| p == partition(3), QUICK_MS),
+        [PartitionScope::All]
+    );
 }
 
 /// Guards against placements that wait for seconds on a store sixty times too slow: a commit takes
@@ -82,14 +85,15 @@
     batching.record_outcome(PartitionScope::All, false, 0, 900);
     assert_eq!(start_commits(&mut batching, |_| true, 960).len(), Partition::all().count());
     for p in Partition::all() {
-        batching.record_outcome(PartitionScope::One(p), p != part(0), 960, 970);
+        batching.record_outcome(PartitionScope::One(p), p != partition(0), 960, 970);
     }
     let sent = start_commits(&mut batching, |_| true, 1_000);
     assert!(
-        !sent.contains(&PartitionScope::One(part(0))) && sent.len() == Partition::all().count() - 1
+        !sent.contains(&PartitionScope::One(partition(0)))
+            && sent.len() == Partition::all().count() - 1
     );
-    assert!(start_commits(&mut batching, |p| p == part(0), 1_030)
-        .contains(&PartitionScope::One(part(0))));
+    assert!(start_commits(&mut batching, |p| p == partition(0), 1_030)
+        .contains(&PartitionScope::One(partition(0))));
 }
 
 /// A store that accepts no transactions over several partitions is sent none.
@@ -98,7 +102,7 @@
     let mut batching = CommitBatching::new(false, 0);
     assert_eq!(
         start_commits(&mut batching, |p| p.index() < 2, 0),
-        [PartitionScope::One(part(0)), PartitionScope::One(part(1))]
+        [PartitionScope::One(partition(0)), PartitionScope::One(partition(1))]
     );
 }
 
@@ -215,7 +219,7 @@
 #[test]
 fn jobs_of_an_unavailable_partition_start_when_it_recovers() {
     let mut cell = cell();
-    cell.unavailable = Some(part(0));
+    cell.unavailable = Some(partition(0));
     let lost = cell.submit(1, "lookups", vec![step(1, 1_000, 600)]);
     let other = cell.submit(u64::MAX, "lookups", vec![step(1, 1_000, 600)]);
     cell.run(3_000);
--- a/tests/control_views.rs
+++ b/tests/control_views.rs
@@ -91,14 +91,14 @@
 /// of the latency of a slow store.
 #[test]
 fn slices_adapt_to_the_throughput_of_the_link() {
-    let parts = rows::JOB_PARTITIONS as usize;
+    let partitions = rows::JOB_PARTITIONS as usize;
     for (per_ms, answer_ms, least, most) in
         [(1_250, 5, 200, 400), (125, 5, 200, 400), (1_250, 240, 240, 500), (25_000, 240, 240, 400)]
     {
         let mut sizer = SliceSizer::default();
         let mut took = 0;
         for _ in 0..12 {
-            let (reads, rows) = sizer.next_reads(parts);
+            let (reads, rows) = sizer.next_reads(partitions);
             let bytes = reads * rows * 1_300;
             took = answer_ms + (bytes / per_ms) as u64;
             sizer.record_slice(reads * rows, bytes, took);
