--- a/src/control/engine/losses.rs
+++ b/src/control/engine/losses.rs
@@ -72,8 +72,9 @@
         }
     }
 
-    /// Counts the loss of runs. A low probability of a loss by chance counts only against the
-    /// tasks with the most earlier losses: the others only ran beside them.
+    /// Counts the loss of runs against their tasks. The probability that a loss is a coincidence is
+    /// estimated only if the runner crashed, for the tasks seen running that have the most earlier
+    /// losses; else it is 1. The other tasks only ran beside them.
     fn count_lost(
         &mut self,
         k: RunnerKey,
@@ -127,11 +128,11 @@
         let Some(losses) = self.task(id).map(|t| t.losses).filter(Losses::suspect) else {
             return BTreeSet::new();
         };
-        let meets = |k: &RunnerKey| {
+        let has_companion = |k: &RunnerKey| {
             let mut suspects = self.runners.get(*k).suspects.values();
             suspects.any(|other| other.lost_together(&losses))
         };
-        candidates.iter().map(|p| p.key).filter(meets).collect()
+        candidates.iter().map(|c| c.key).filter(has_companion).collect()
     }
 
     /// Clears the losses of a task whose run has lasted long enough: it does not crash its runner.
--- a/src/control/engine/plan.rs
+++ b/src/control/engine/plan.rs
@@ -45,7 +45,7 @@
         self.round = Round::default();
         self.expire_provisional(now);
         let cat = self.cat.clone();
-        let begin = self.counts.looks;
+        let checks_before = self.counts.looks;
         let mut pass = std::mem::take(&mut self.pass);
         if pass.finished() {
             self.updated.clear();
@@ -53,13 +53,13 @@
         }
         let updated = std::mem::take(&mut self.updated);
         for (rank, id) in self.urgent_steps(updated, now) {
-            if self.counts.looks < begin + MAX_URGENT_CHECKS {
+            if self.counts.looks < checks_before + MAX_URGENT_CHECKS {
                 self.plan_step(&cat, id, rank, &mut pass.reserved, now);
             } else {
                 self.updated.insert(id);
             }
         }
-        while self.counts.looks < begin + MAX_CHECKS_PER_ROUND {
+        while self.counts.looks < checks_before + MAX_CHECKS_PER_ROUND {
             let Some((rank, id)) = pass.next() else { break };
             self.plan_step(&cat, id, rank, &mut pass.reserved, now);
         }
@@ -142,7 +142,7 @@
     fn gang_capacity_wait(&self) -> u64 {
         let non_urgent = |name: &String| self.cat.queues.get(name).is_some_and(|q| q.priority > 0);
         let run_times = self.run_times.iter().filter(|(name, _)| non_urgent(name));
-        run_times.map(|(_, p)| p.typical()).max().unwrap_or(0)
+        run_times.map(|(_, model)| model.typical()).max().unwrap_or(0)
     }
 
     fn rank(&self, id: StepId, capacity_wait: u64, now: Now) -> Option<Rank> {
@@ -187,8 +187,8 @@
     }
 
     /// Candidate runners of a step, with the capacity that it may use on each. For a queue with a
-    /// policy these are the approved runners, not all: most of the waiting steps that a round plans
-    /// are waiting for advice about a few.
+    /// policy only the runners with a ticket are checked, expired or not, since most steps of a
+    /// round wait for advice about a few runners.
     pub(super) fn candidates(
         &mut self,
         v: &StepView<'_>,
@@ -268,12 +268,12 @@
     ) -> Vec<Candidate<RunnerKey>> {
         let margin = self.ticket_margin(v.id);
         let tickets = self.step(v.id).map(|s| &s.approvals.tickets);
-        let valid = |p: &&Candidate<RunnerKey>| {
-            let ticket = tickets.and_then(|t| t.get(&p.key));
+        let valid = |c: &&Candidate<RunnerKey>| {
+            let ticket = tickets.and_then(|t| t.get(&c.key));
             ticket.is_some_and(|(_, end)| *end > now.mono + margin)
         };
         let all = v.queue.approval.is_none();
-        candidates.iter().filter(|p| all || valid(p)).cloned().collect()
+        candidates.iter().filter(|c| all || valid(c)).cloned().collect()
     }
 
     /// Processor capacity of the service that non-urgent steps may use now.
@@ -390,10 +390,11 @@
         else {
             return;
         };
-        let Some(a) = self.step(v.id).map(|s| &s.approvals) else { return };
+        let Some(approvals) = self.step(v.id).map(|s| &s.approvals) else { return };
         let margin = self.ticket_margin(v.id);
-        let valid =
-            |k: &RunnerKey| a.tickets.get(k).is_some_and(|(_, end)| *end > now.mono + margin);
+        let valid = |k: &RunnerKey| {
+            approvals.tickets.get(k).is_some_and(|(_, end)| *end > now.mono + margin)
+        };
         if v.queue.approval.is_none() || runners.iter().all(valid) {
             // Preempted tasks may still run there.
             if !runners.iter().all(|k| self.runners.get(*k).reservation_fits()) {
@@ -404,7 +405,7 @@
             }
             return;
         }
-        if a.pending == 0 && a.retry_at <= now.mono {
+        if approvals.pending == 0 && approvals.retry_at <= now.mono {
             let runners: Vec<RunnerKey> = runners.into_iter().collect();
             self.request_advice_for(v, &runners, now);
         }
--- a/src/control/engine/runs.rs
+++ b/src/control/engine/runs.rs
@@ -73,7 +73,7 @@
     GangBroken,
     /// It makes no progress.
     NoProgress,
-    /// Its start was not answered, and must have no effect any more.
+    /// Its start was not answered and must not take effect later.
     NoAnswer,
     /// It is preempted by a gang.
     Preempted,
@@ -104,7 +104,7 @@
     pub stage: Stage,
     /// Number of starts sent.
     pub tries: u32,
-    /// A start was not answered: its outcome is unknown, and it may take effect later.
+    /// Whether a start was not answered: its outcome is unknown, and it may take effect later.
     pub outcome_unknown: bool,
     /// Progress as reported by the runner.
     pub progress: Progress,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Removes a run that is over or never started. Its capacity becomes free and its task waits
+    /// Removes a run that has ended or never started. Its capacity becomes free and its task waits
     /// again, unless it is done.
     pub(super) fn release(&mut self, id: TaskId, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
@@ -315,7 +315,8 @@
         }
     }
 
-    /// Records that a runner has seen a higher fencing token than this term's: the term is over.
+    /// Records that a runner has seen a higher fencing token than this term's: the term has
+    /// ended.
     pub(super) fn record_fenced(&mut self, k: RunnerKey) {
         if !self.superseded {
             log::warn!(runner = self.runners.get(k).id, fence = self.fence;
@@ -332,8 +333,8 @@
             if run.stage != (Stage::Stopping { answered: None }) {
                 continue;
             }
-            let late = run.stop_at + STOP_RETRY_MS <= now.mono;
-            if late && self.runners.get(run.runner).reachable(now) {
+            let retry_due = run.stop_at + STOP_RETRY_MS <= now.mono;
+            if retry_due && self.runners.get(run.runner).reachable(now) {
                 due.push((run.runner, id));
             }
             self.stopping.insert(id);
--- a/src/control/front.rs
+++ b/src/control/front.rs
@@ -230,8 +230,8 @@
     /// leader.
     async fn count(&self, queue: &Queue) -> Option<u64> {
         if self.mirror.caches_jobs() {
-            let all = self.mirror.ensure_fresh(MAX_COUNT_AGE_MS).await;
-            return all.then(|| self.mirror.pending(&queue.name));
+            let fresh = self.mirror.ensure_fresh(MAX_COUNT_AGE_MS).await;
+            return fresh.then(|| self.mirror.pending(&queue.name));
         }
         match self.link.is_live() {
             true => self.link.count(&queue.name, REFRESH_TIMEOUT_MS).await,
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -27,7 +27,7 @@
 
 /// Timeout of a write while the store is unresponsive, ms: many times its usual latency, and a
 /// fraction of the takeover time. A longer attempt that is still in flight when the store recovers
-/// could delay the leader's next write until it is replaced.
+/// could delay the leader's next write until the leader is replaced.
 const PROBE_TIMEOUT_MS: u64 = 300;
 
 /// Interval between two polls of the feed while a large table is read, ms: a fraction of the
@@ -42,7 +42,7 @@
 const MAX_JOB_ROWS: usize = 8;
 
 /// Longest timeout of a write, ms: leaves time for a second attempt within a caller's 3 s.
-const MAX_WRITE_MS: u64 = 1_600;
+const MAX_WRITE_TIMEOUT_MS: u64 = 1_600;
 
 /// A change of the cached tables that the scheduler is notified of.
 #[derive(Clone, Debug)]
@@ -137,17 +137,17 @@
         self.state.lock().unwrap().catalogue.clone()
     }
 
-    /// Timeout of a write, ms: between `least` and `MAX_WRITE_MS`, many times the current latency
-    /// of the store. A fixed timeout would be too long for an instance that has been cut off, or
-    /// too short for a slow store, which would then execute both the write and its retry. While the
-    /// store is unresponsive the timeout is short: an attempt still in flight when the store
-    /// recovers delays the next one for as long as it is waited for.
+    /// Timeout of a write, ms: between `least` and `MAX_WRITE_TIMEOUT_MS`, many times the current
+    /// latency of the store. A fixed timeout would be too long for an instance that has been cut
+    /// off, or too short for a slow store, which would then execute both the write and its retry.
+    /// While the store is unresponsive the timeout is short: an attempt still in flight when the
+    /// store recovers delays the next one until it times out.
     pub fn write_timeout_ms(&self, least: u64) -> u64 {
         if self.store_health.unavailable() {
             return PROBE_TIMEOUT_MS;
         }
         let latency = self.state.lock().unwrap().latency;
-        (latency * WRITE_LATENCY_FACTOR).clamp(least, MAX_WRITE_MS.max(least))
+        (latency * WRITE_LATENCY_FACTOR).clamp(least, MAX_WRITE_TIMEOUT_MS.max(least))
     }
 
     /// Cached state of a job; none if the job is not in the cache. Without a progress row it is
--- a/src/control/node.rs
+++ b/src/control/node.rs
@@ -43,7 +43,7 @@
 
 /// Longest time that a poll waits for a change, ms; also the interval at which an idle instance
 /// checks that the store is reachable.
-const POLL_MS: u64 = 500;
+const POLL_WAIT_MS: u64 = 500;
 
 /// Interval between two checks whether this instance is eligible for leadership, ms; they make no
 /// calls.
@@ -150,8 +150,8 @@
             cross_part: self.settings.cross_part,
             view: self.view.clone(),
         };
-        let read = |t| self.mirror.cached_version(t).is_some();
-        let able = || read(Table::Jobs) && read(Table::Progress);
+        let is_cached = |t| self.mirror.cached_version(t).is_some();
+        let able = || is_cached(Table::Jobs) && is_cached(Table::Progress);
         while !self.stop.fired() {
             let term = {
                 let won = Box::pin(self.election.campaign(|| self.link.is_live(), able));
@@ -194,7 +194,7 @@
                 self.clock.sleep(interval_ms.max(ROLE_CHECK_MS)).await;
                 continue;
             }
-            if self.mirror.poll(table, POLL_MS).await.is_err() {
+            if self.mirror.poll(table, POLL_WAIT_MS).await.is_err() {
                 self.clock.sleep(RETRY_MS).await;
             }
             let linked = table != Table::Config && self.link.is_live_for(LINK_SETTLED_MS);
--- a/src/control/submissions.rs
+++ b/src/control/submissions.rs
@@ -65,9 +65,9 @@
     row: Option<Vec<u8>>,
     /// Local ms.
     deadline: u64,
-    /// The outcome of an earlier try is unknown.
+    /// Whether the outcome of an earlier try is unknown.
     outcome_unknown: bool,
-    /// Received from another instance; it must not be relayed again.
+    /// Whether it was received from another instance; it must not be relayed again.
     relayed: bool,
     done: oneshot::Sender<WriteOutcome>,
 }
@@ -205,16 +205,16 @@
 
     /// Handles a batch while the store is unavailable: relays it over the link if there is one,
     /// else refuses it at once. A write to an unresponsive store could only end with an unknown
-    /// outcome, and its caller could not retry in time. The change feeds keep polling; writes go to
-    /// the store again after their first response.
+    /// outcome, and its caller could not retry in time. The change feeds keep polling, and writes
+    /// go to the store again once a poll has been answered.
     async fn bypass_store(&self, batch: Vec<Request>) -> Vec<Request> {
         let remaining = if self.link.is_live() { self.relay(batch).await } else { batch };
         if self.link.is_live() {
             return remaining;
         }
-        let (outcome_unknown, lost): (Vec<_>, Vec<_>) =
+        let (outcome_unknown, not_stored): (Vec<_>, Vec<_>) =
             remaining.into_iter().partition(|r| r.outcome_unknown);
-        answer_all(lost, WriteOutcome::NotStored);
+        answer_all(not_stored, WriteOutcome::NotStored);
         answer_all(outcome_unknown, WriteOutcome::Unknown);
         Vec::new()
     }
--- a/src/entry/ledger.rs
+++ b/src/entry/ledger.rs
@@ -14,10 +14,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Most records that wait for a commit; further records are refused at once.
+/// Maximum number of records that wait for a commit; further records are refused at once.
 const MAX_QUEUED: usize = 4_096;
 
-/// Most records in one commit.
+/// Maximum number of records in one commit.
 const MAX_GROUP: usize = 200;
 
 /// Reason why a record was not committed. Nothing was sent to a runner.
--- a/src/entry/sched/serve.rs
+++ b/src/entry/sched/serve.rs
@@ -65,8 +65,8 @@
             && self.plan.now >= row.submitted + GANG_DRAIN_MS
     }
 
-    /// Stops the committed tasks of a cancelled job, and removes its pending-job entry once nothing
-    /// is committed.
+    /// Stops the committed tasks of a cancelled job, and removes its pending-job entry once it
+    /// has no committed tasks.
     fn finish_cancellation(&mut self, shard_name: &str, epoch: u64, id: &str) {
         if self.stop_tasks(shard_name, id, |t| t.worker.is_some()) == 0 {
             self.sync_pending(shard_name, epoch, id);
--- a/tests/common/control/work.rs
+++ b/tests/common/control/work.rs
@@ -16,15 +16,15 @@
 
 /// Completion of a run at `now`, if it ends, on a runner whose lease has not expired: `complete` if
 /// all members of its gang run, `all_done` if all of them have done their work.
-fn end_of(x: &Running, complete: bool, all_done: bool, now: u64) -> Option<EndKind> {
-    let finished = x.work_done >= x.total_work && x.stopping.is_none();
-    if x.stopping.is_some_and(|at| at <= now) {
+fn end_of(run: &Running, complete: bool, all_done: bool, now: u64) -> Option<EndKind> {
+    let finished = run.work_done >= run.total_work && run.stopping.is_none();
+    if run.stopping.is_some_and(|at| at <= now) {
         Some(EndKind::Stopped)
-    } else if finished && x.fails {
+    } else if finished && run.fails {
         Some(EndKind::Failed)
     } else if finished && all_done {
         Some(EndKind::Done)
-    } else if !complete && x.work_done == 0 && x.started + MEMBER_WAIT_MS <= now {
+    } else if !complete && run.work_done == 0 && run.started + MEMBER_WAIT_MS <= now {
         Some(EndKind::Alone)
     } else {
         None
@@ -73,8 +73,8 @@
     /// Number of running members of each gang, and whether all of them have done their work.
     fn gangs(&self) -> BTreeMap<(StepId, Attempt), Gang> {
         let mut out: BTreeMap<(StepId, Attempt), Gang> = BTreeMap::new();
-        let up = self.runners.iter().filter(|r| r.exists);
-        for (task, x) in up.flat_map(|r| &r.running).filter(|(_, x)| x.gang.is_some()) {
+        let existing = self.runners.iter().filter(|r| r.exists);
+        for (task, x) in existing.flat_map(|r| &r.running).filter(|(_, x)| x.gang.is_some()) {
             let gang =
                 out.entry((task.step, x.attempt)).or_insert(Gang { present: 0, all_done: true });
             gang.present += 1;
@@ -86,8 +86,8 @@
     fn break_gangs(&mut self, broken: &BTreeSet<(StepId, Attempt)>) {
         for r in self.runners.iter_mut().filter(|r| r.exists && !broken.is_empty()) {
             let broken_task = |(task, x): (&TaskId, &Running)| {
-                let hit = x.gang.is_some() && broken.contains(&(task.step, x.attempt));
-                hit.then_some(*task)
+                let is_broken = x.gang.is_some() && broken.contains(&(task.step, x.attempt));
+                is_broken.then_some(*task)
             };
             let tasks: Vec<TaskId> = r.running.iter().filter_map(broken_task).collect();
             tasks.into_iter().for_each(|t| r.end(t, EndKind::Broken));
