--- a/src/control/engine/mod.rs
+++ b/src/control/engine/mod.rs
@@ -134,7 +134,7 @@
 
 /// The scheduler of the cell.
 pub struct Engine {
-    /// Limits.
+    /// Limits that follow from the platform's bounds.
     pub rules: Rules,
     /// Fencing token of this term.
     pub fence: u64,
@@ -169,7 +169,7 @@
     /// Jobs of which only the state shown to callers has changed, by the time when it is to be
     /// stored, local ms.
     deferred: BTreeSet<(u64, JobId)>,
-    /// Ended jobs by the time of their end, Unix ms.
+    /// Ended jobs, by the time when they ended, Unix ms.
     ended_jobs: BTreeSet<(u64, JobId)>,
     acts: Vec<Action>,
     /// Provisional reservations of gangs whose tickets are being requested.
@@ -179,7 +179,7 @@
     /// Pending advice requests.
     advice_requests: advice::AdviceRequests,
     /// Placements that are not stored yet.
-    storing: store_backlog::Storing,
+    store_backlog: store_backlog::StoreBacklog,
     /// Share of the named runners that each queue's policy approves on average.
     approval_rates: BTreeMap<String, advice::ApprovalRate>,
     /// Run-time model of each queue.
@@ -218,7 +218,7 @@
             provisional: BTreeMap::new(),
             broken_gangs: BTreeSet::new(),
             advice_requests: advice::AdviceRequests::default(),
-            storing: store_backlog::Storing::default(),
+            store_backlog: store_backlog::StoreBacklog::default(),
             approval_rates: BTreeMap::new(),
             run_times: BTreeMap::new(),
             loss_rate: LossRate::default(),
--- a/src/control/engine/runs.rs
+++ b/src/control/engine/runs.rs
@@ -2,9 +2,11 @@
 //!
 //! An order without an answer may still be carried out seconds later. If the capacity of its run
 //! were released before, the runner could be overcommitted, or the task could start elsewhere and
-//! run twice. A run therefore keeps its capacity until its completion is reported; or a stop of its
-//! attempt was acknowledged and a later poll does not list it; or the lease or the incarnation of
-//! its runner is over.
+//! run twice. A run therefore keeps its capacity until one of these:
+//!
+//! - its completion is reported;
+//! - a stop of its attempt was acknowledged, and a later poll does not list it;
+//! - the lease of its runner has expired, or another incarnation has replaced the runner.
 
 use super::progress::Progress;
 use super::{Action, Engine, Now, RunnerKey};
@@ -71,7 +73,7 @@
     GangBroken,
     /// It makes no progress.
     NoProgress,
-    /// Its start was not answered, and must have no effect any more.
+    /// Its start was not answered and must not take effect later.
     NoAnswer,
     /// It is preempted by a gang.
     Preempted,
@@ -102,7 +104,7 @@
     pub stage: Stage,
     /// Number of starts sent.
     pub tries: u32,
-    /// A start was not answered: its outcome is unknown, and it may take effect later.
+    /// Whether a start was not answered: its outcome is unknown, and it may take effect later.
     pub outcome_unknown: bool,
     /// Progress as reported by the runner.
     pub progress: Progress,
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Removes a run that is over or never started. Its capacity becomes free and its task waits
+    /// Removes a run that has ended or never started. Its capacity becomes free and its task waits
     /// again, unless it is done.
     pub(super) fn release(&mut self, id: TaskId, now: Now) {
         let Some(task) = self.task_mut(id) else { return };
@@ -258,6 +260,8 @@
             Refusal::NoResponse | Refusal::Unreachable if tries < MAX_START_TRIES => {
                 self.order_start(id, now, START_RETRY_MS);
             }
+            // The attempt has ended or was stopped there: the next poll reports its completion, or
+            // does not list it, and it is marked as lost.
             Refusal::Superseded => run.stage = Stage::Running { clock: 0 },
             Refusal::NoResponse => self.order_stop(id, StopReason::NoAnswer, now),
             _ => {
@@ -311,7 +315,8 @@
         }
     }
 
-    /// Records that a runner has seen a higher fencing token than this term's: the term is over.
+    /// Records that a runner has seen a higher fencing token than this term's: the term has
+    /// ended.
     pub(super) fn record_fenced(&mut self, k: RunnerKey) {
         if !self.superseded {
             log::warn!(runner = self.runners.get(k).id, fence = self.fence;
@@ -328,8 +333,8 @@
             if run.stage != (Stage::Stopping { answered: None }) {
                 continue;
             }
-            let late = run.stop_at + STOP_RETRY_MS <= now.mono;
-            if late && self.runners.get(run.runner).reachable(now) {
+            let retry_due = run.stop_at + STOP_RETRY_MS <= now.mono;
+            if retry_due && self.runners.get(run.runner).reachable(now) {
                 due.push((run.runner, id));
             }
             self.stopping.insert(id);
--- a/src/control/engine/store_backlog.rs
+++ b/src/control/engine/store_backlog.rs
@@ -14,14 +14,15 @@
 use crate::control::partitions::{self, Partition};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// While a placement has waited for the store for longer than this, nothing more is decided, ms:
-/// several commits of a store sixty times too slow, and less than a ticket's validity.
+/// While a placement has waited longer than this for the store, nothing more is decided for its
+/// partition, ms: several commits of a store sixty times too slow, and less than a ticket's
+/// validity.
 const STORE_LATE_MS: u64 = 1_400;
 
 /// Time in which the pending jobs should be stored, ms: a fraction of a ticket's validity.
 const WINDOW_MS: u64 = 600;
 
-/// Minimum limit of pending jobs of a partition: one transaction.
+/// Lower bound of the limit of pending jobs of a partition: the writes of one transaction.
 const MIN_WINDOW: u64 = 46;
 
 /// Placements of a job that are not stored.
@@ -36,55 +37,55 @@
 
 /// Jobs with placements that are not stored, by partition and whether their queue is non-urgent.
 #[derive(Debug, Default)]
-pub(super) struct Storing {
+pub(super) struct StoreBacklog {
     waiting: BTreeMap<(Partition, bool), BTreeSet<(u64, JobId)>>,
-    parts: [WritePerformance; partitions::COUNT],
+    performance: [WritePerformance; partitions::COUNT],
 }
 
 /// Recent write performance of a partition.
 #[derive(Clone, Copy, Debug, Default)]
 struct WritePerformance {
     /// Duration of the last commit, ms.
-    took: u64,
+    commit_ms: u64,
     /// When it ended, local ms.
     ended: u64,
     /// Rows a second, by the last commit.
     rate: u64,
 }
 
-impl Storing {
+impl StoreBacklog {
     /// Duration of the last commit to a partition, ms; 0 before the first.
-    pub fn took(&self, part: Partition) -> u64 {
-        self.parts[part.index()].took
+    pub fn commit_ms(&self, partition: Partition) -> u64 {
+        self.performance[partition.index()].commit_ms
     }
 
     /// Records that a commit sent at `sent` stored `rows` rows of a partition.
-    pub fn record_commit(&mut self, part: Partition, rows: usize, sent: u64, now: u64) {
-        let speed = &mut self.parts[part.index()];
-        let took = now.saturating_sub(sent);
+    pub fn record_commit(&mut self, partition: Partition, rows: usize, sent: u64, now: u64) {
+        let latest = &mut self.performance[partition.index()];
+        let commit_ms = now.saturating_sub(sent);
         // For transactions that are carried out one after the other, the time counts from the end
         // of the previous one.
-        let span = took.min(now.saturating_sub(speed.ended)).max(1);
-        *speed = WritePerformance { took, ended: now, rate: rows as u64 * 1_000 / span };
+        let span = commit_ms.min(now.saturating_sub(latest.ended)).max(1);
+        *latest = WritePerformance { commit_ms, ended: now, rate: rows as u64 * 1_000 / span };
     }
 
     /// Maximum number of pending jobs of a partition; unlimited before the first commit.
-    fn window(&self, part: Partition) -> u64 {
-        match self.parts[part.index()] {
+    fn window(&self, partition: Partition) -> u64 {
+        match self.performance[partition.index()] {
             WritePerformance { ended: 0, .. } => u64::MAX,
-            speed => (speed.rate * WINDOW_MS / 1_000).max(MIN_WINDOW),
+            latest => (latest.rate * WINDOW_MS / 1_000).max(MIN_WINDOW),
         }
     }
 
     /// Number of jobs of a partition with placements that wait, of non-urgent queues or of urgent
     /// ones.
-    fn count(&self, part: Partition, non_urgent: bool) -> usize {
-        self.waiting.get(&(part, non_urgent)).map_or(0, BTreeSet::len)
+    fn count(&self, partition: Partition, non_urgent: bool) -> usize {
+        self.waiting.get(&(partition, non_urgent)).map_or(0, BTreeSet::len)
     }
 
     /// Whether a placement of a partition has waited too long.
-    fn late(&self, part: Partition, non_urgent: bool, now: u64) -> bool {
-        let first = self.waiting.get(&(part, non_urgent)).and_then(BTreeSet::first);
+    fn late(&self, partition: Partition, non_urgent: bool, now: u64) -> bool {
+        let first = self.waiting.get(&(partition, non_urgent)).and_then(BTreeSet::first);
         first.is_some_and(|(at, _)| at + STORE_LATE_MS <= now)
     }
 }
@@ -92,12 +93,14 @@
 impl Engine {
     /// Whether nothing is decided for a job now, since earlier decisions wait for the store.
     pub(super) fn store_busy(&self, id: JobId, non_urgent: bool, now: Now) -> bool {
-        let part = Partition::of(id);
+        let partition = Partition::of(id);
         let pending = |non_urgent| {
-            self.storing.count(part, non_urgent) + self.advice_requests.steps(part, non_urgent)
+            self.store_backlog.count(partition, non_urgent)
+                + self.advice_requests.steps(partition, non_urgent)
         };
         let all = pending(false) + if non_urgent { pending(true) } else { 0 };
-        all as u64 >= self.storing.window(part) || self.storing.late(part, non_urgent, now.mono)
+        all as u64 >= self.store_backlog.window(partition)
+            || self.store_backlog.late(partition, non_urgent, now.mono)
     }
 
     /// Records a placement that has to be stored with revision `rev` of its job.
@@ -105,7 +108,8 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.unstored.is_none() {
             job.unstored = Some(Unstored { at: now.mono, rev, non_urgent });
-            let waiting = self.storing.waiting.entry((Partition::of(id), non_urgent)).or_default();
+            let waiting =
+                self.store_backlog.waiting.entry((Partition::of(id), non_urgent)).or_default();
             waiting.insert((now.mono, id));
         }
     }
@@ -117,7 +121,7 @@
         let Some(unstored) = job.unstored.take_if(|u| u.rev <= rev) else { return };
         let newest = job.newest_placement();
         if let Some(waiting) =
-            self.storing.waiting.get_mut(&(Partition::of(id), unstored.non_urgent))
+            self.store_backlog.waiting.get_mut(&(Partition::of(id), unstored.non_urgent))
         {
             waiting.remove(&(unstored.at, id));
         }
--- a/src/control/front.rs
+++ b/src/control/front.rs
@@ -230,8 +230,8 @@
     /// leader.
     async fn count(&self, queue: &Queue) -> Option<u64> {
         if self.mirror.caches_jobs() {
-            let all = self.mirror.ensure_fresh(MAX_COUNT_AGE_MS).await;
-            return all.then(|| self.mirror.pending(&queue.name));
+            let fresh = self.mirror.ensure_fresh(MAX_COUNT_AGE_MS).await;
+            return fresh.then(|| self.mirror.pending(&queue.name));
         }
         match self.link.is_live() {
             true => self.link.count(&queue.name, REFRESH_TIMEOUT_MS).await,
@@ -241,7 +241,7 @@
 
     /// State of a job, none if it does not exist; an error response if that cannot be determined.
     async fn find_state(&self, id: JobId) -> Result<Option<JobState>, Response> {
-        if self.mirror.knows_state(id) {
+        if self.mirror.has_state(id) {
             return Ok(self.mirror.job_state(id));
         }
         // A job that the leader does not list may still have been stored: only the store can show
--- a/src/control/leader/calls.rs
+++ b/src/control/leader/calls.rs
@@ -12,7 +12,7 @@
 use futures::future::{BoxFuture, FutureExt};
 use std::collections::BTreeSet;
 
-/// Least timeout of a commit, ms: the same as that of the submission writer.
+/// Minimum timeout of a commit, ms: twice that of the submission writer.
 const COMMIT_MS: u64 = 900;
 
 /// Longest time that a poll of the feed waits for a change, ms.
@@ -22,6 +22,7 @@
 const GC_INTERVAL_MS: u64 = 500;
 
 impl Leader {
+    /// Keeps a table up to date by polling its feed; never completes.
     pub(super) fn follow(&self, table: Table, interval_ms: u64) -> BoxFuture<'_, Event> {
         async move {
             loop {
@@ -45,7 +46,7 @@
     }
 
     /// Triggers the next heartbeat after a fixed time, whether or not the previous one was
-    /// answered: a heartbeat delayed by a lost answer would make the leader appear dead.
+    /// answered: heartbeats that wait for a lost answer could cost the leader its term.
     pub(super) fn heartbeat_later(&self) -> BoxFuture<'_, Event> {
         async move {
             self.clock.sleep(HEARTBEAT_MS).await;
@@ -91,10 +92,10 @@
         batch: Batch,
     ) -> BoxFuture<'_, Event> {
         async move {
-            let parts: BTreeSet<Partition> =
+            let partitions: BTreeSet<Partition> =
                 batch.writes.iter().map(|w| Partition::of(w.job)).collect();
-            let fence = |p: &Partition| (rows::fence_key(*p), term.parts[p.index()]);
-            let expect = parts.iter().map(fence).collect();
+            let fence = |p: &Partition| (rows::fence_key(*p), term.fence_versions[p.index()]);
+            let expect = partitions.iter().map(fence).collect();
             let mut txn = Txn { expect, ..Txn::default() };
             for w in &batch.writes {
                 let key = rows::progress_key(w.job);
@@ -111,7 +112,7 @@
                     let matches = |(key, version): (Key, u64)| {
                         found.iter().any(|r| r.key == key && r.version == version)
                     };
-                    if !parts.iter().map(fence).all(matches) {
+                    if !partitions.iter().map(fence).all(matches) {
                         return Event::Replaced;
                     }
                     log::info!(rows = batch.writes.len(); "commit conflicts with an earlier write of this scheduler");
--- a/src/control/mirror/mod.rs
+++ b/src/control/mirror/mod.rs
@@ -26,22 +26,23 @@
 const WRITE_LATENCY_FACTOR: u64 = 10;
 
 /// Timeout of a write while the store is unresponsive, ms: many times its usual latency, and a
-/// fraction of the takeover time, which a longer wait after the store's return could exceed.
+/// fraction of the takeover time. A longer attempt that is still in flight when the store recovers
+/// could delay the leader's next write until the leader is replaced.
 const PROBE_TIMEOUT_MS: u64 = 300;
 
 /// Interval between two polls of the feed while a large table is read, ms: a fraction of the
 /// shortest history that a store keeps.
 const FEED_INTERVAL_MS: u64 = 1_000;
 
-/// A poll of the feed that fails after this long, ms, was still receiving data: a stalled one times
-/// out sooner.
+/// A poll of the feed that fails after this long, ms, was still receiving data, since a stalled one
+/// times out sooner.
 const FEED_TOO_LARGE_MS: u64 = 5_000;
 
-/// Most rows that one job has in a table.
-const FOUND_ROWS: usize = 8;
+/// Maximum number of rows of one job in a table.
+const MAX_JOB_ROWS: usize = 8;
 
 /// Longest timeout of a write, ms: leaves time for a second attempt within a caller's 3 s.
-const MAX_WRITE_MS: u64 = 1_600;
+const MAX_WRITE_TIMEOUT_MS: u64 = 1_600;
 
 /// A change of the cached tables that the scheduler is notified of.
 #[derive(Clone, Debug)]
@@ -98,7 +99,7 @@
     }
 
     /// Names of its partitions.
-    fn parts(self) -> Vec<String> {
+    fn partitions(self) -> Vec<String> {
         match self {
             // All possible partitions, rather than a listing: this instance would miss the jobs of
             // a partition that is first written to between the listing and the reads.
@@ -112,7 +113,6 @@
 /// Local cache of the store's tables, one for each instance.
 pub struct Mirror {
     store: Arc<dyn Store>,
-    /// Health of the store.
     store_health: Arc<StoreHealth>,
     clock: Clock,
     reads: Dependency,
@@ -137,28 +137,28 @@
         self.state.lock().unwrap().catalogue.clone()
     }
 
-    /// Timeout of a write, ms: between `least` and [`MAX_WRITE_MS`], many times the current latency
-    /// of the store. A fixed timeout would be too long for an instance that has been cut off, or
-    /// too short for a slow store, which would then execute both the write and its retry. While the
-    /// store is unresponsive the timeout is short: an attempt still in flight when the store
-    /// recovers delays the next one for as long as it is waited for.
+    /// Timeout of a write, ms: between `least` and `MAX_WRITE_TIMEOUT_MS`, many times the current
+    /// latency of the store. A fixed timeout would be too long for an instance that has been cut
+    /// off, or too short for a slow store, which would then execute both the write and its retry.
+    /// While the store is unresponsive the timeout is short: an attempt still in flight when the
+    /// store recovers delays the next one until it times out.
     pub fn write_timeout_ms(&self, least: u64) -> u64 {
         if self.store_health.unavailable() {
             return PROBE_TIMEOUT_MS;
         }
         let latency = self.state.lock().unwrap().latency;
-        (latency * WRITE_LATENCY_FACTOR).clamp(least, MAX_WRITE_MS.max(least))
+        (latency * WRITE_LATENCY_FACTOR).clamp(least, MAX_WRITE_TIMEOUT_MS.max(least))
     }
 
     /// Cached state of a job; none if the job is not in the cache. Without a progress row it is
-    /// `Queued`, see [`Self::knows_state`].
+    /// `Queued`, see [`Self::has_state`].
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         self.state.lock().unwrap().job_state(id)
     }
 
     /// Whether a job's state is known: the job is in the cache, and so is its progress row or the
     /// whole progress table.
-    pub fn knows_state(&self, id: JobId) -> bool {
+    pub fn has_state(&self, id: JobId) -> bool {
         let st = self.state.lock().unwrap();
         let has_job = st.jobs.get(&id).is_some_and(|j| j.row.is_some());
         has_job && (st.progress.contains_key(&id) || st.cached_version(Table::Progress).is_some())
@@ -304,7 +304,7 @@
 
     async fn update(&self, table: Table, wait_ms: u64) -> Result<usize, ReadError> {
         if !self.state.lock().unwrap().caches(table) {
-            return Err(ReadError::HistoryGone);
+            return Err(ReadError::HistoryExpired);
         }
         if self.cached_version(table).is_none() {
             return self.read_all(table).await;
@@ -312,7 +312,7 @@
         // While the store is unresponsive, a poll is only a probe and doesn't wait for changes.
         let wait_ms = if self.store_health.unavailable() { 0 } else { wait_ms };
         match self.follow(table, wait_ms).await {
-            Err(ReadError::HistoryGone) => {
+            Err(ReadError::HistoryExpired) => {
                 log::info!(table = table.name(); "feed history is gone; reading the whole table again");
                 self.read_all(table).await
             }
@@ -320,8 +320,8 @@
         }
     }
 
-    /// Polls the feed of a table and applies its changes. Discards the table if the feed's history
-    /// no longer reaches back to the cached version.
+    /// Polls the feed of a table and applies its changes. Discards the position in the feed, so
+    /// that the whole table is read again, if the feed's history no longer reaches back to it.
     async fn follow(&self, table: Table, wait_ms: u64) -> Result<usize, ReadError> {
         let after = self.state.lock().unwrap().versions.get(&table).copied().unwrap_or(0);
         let sent = self.clock.mono();
@@ -332,7 +332,7 @@
             // poll would request even more: the table is read in slices instead.
             let too_large = self.clock.mono() - sent >= FEED_TOO_LARGE_MS;
             // Another caller may have begun a full read meanwhile, which is then kept.
-            if (*e == ReadError::HistoryGone || too_large)
+            if (*e == ReadError::HistoryExpired || too_large)
                 && st.versions.get(&table) == Some(&after)
             {
                 st.forget(table);
@@ -350,7 +350,7 @@
         for c in changes.rows {
             match c {
                 Change::Put(row) => st.put(table, row),
-                Change::Gone(key) => st.remove(table, &key),
+                Change::Removed(key) => st.remove(table, &key),
             }
         }
         let version = st.versions.entry(table).or_default();
@@ -395,9 +395,9 @@
         let mut st = self.state.lock().unwrap();
         let now = self.clock.mono();
         st.readings.entry(table).or_insert_with(|| {
-            let parts = table.parts();
-            log::info!(table = table.name(), parts = parts.len(); "reading a table");
-            Reading::new(parts, now)
+            let partitions = table.partitions();
+            log::info!(table = table.name(), parts = partitions.len(); "reading a table");
+            Reading::new(partitions, now)
         });
     }
 
@@ -405,25 +405,27 @@
     /// leaves the link free for other traffic.
     async fn read_slice(&self, table: Table) -> Result<u64, ReadError> {
         let slice = self.state.lock().unwrap().slice(table);
-        let (parts, limit) = slice.ok_or(ReadError::HistoryGone)?;
+        let (partitions, limit) = slice.ok_or(ReadError::HistoryExpired)?;
         let sent = self.clock.mono();
         let name = table.name();
-        let reads = parts.iter().map(|(part, from)| self.store.page(name, part, from, None, limit));
+        let reads = partitions
+            .iter()
+            .map(|(partition, from)| self.store.page(name, partition, from, None, limit));
         let pages = futures::future::join_all(reads).await;
         let ms = self.clock.mono() - sent;
         let mut st = self.state.lock().unwrap();
         let (mut rows, mut bytes, mut failed) = (0, 0, None);
-        for ((part, _), page) in parts.iter().zip(pages) {
+        for ((partition, _), page) in partitions.iter().zip(pages) {
             match page {
                 Ok(page) => {
                     let sizes = page.rows.iter().map(|r| reading::wire_size(r.value.len()));
                     bytes += sizes.sum::<usize>();
                     rows += page.rows.len();
-                    st.apply_page(table, part, page);
+                    st.apply_page(table, partition, page);
                 }
                 Err(e) => {
                     if let Some(reading) = st.readings.get_mut(&table) {
-                        reading.move_to_back(part);
+                        reading.move_to_back(partition);
                     }
                     failed = Some(e);
                 }
@@ -462,11 +464,11 @@
     pub async fn find_job(&self, id: JobId) -> Result<Option<JobState>, ReadError> {
         let key = rows::job_key(id);
         let end = rows::cancel_key(id).key + "~";
-        let job = self.store.page(&key.table, &key.part, &key.key, Some(&end), FOUND_ROWS);
+        let job = self.store.page(&key.table, &key.part, &key.key, Some(&end), MAX_JOB_ROWS);
         let (job, progress) = futures::join!(job, self.find_progress(id));
         let (job, progress) = (job?, progress?);
-        // The cache drops the rows where it doesn't keep jobs; the state is then derived from the
-        // rows read alone.
+        // If the cache holds no jobs, it ignores these rows, and the state is derived from them
+        // alone.
         let mut found = State::default();
         let mut st = self.state.lock().unwrap();
         for (table, row) in progress
@@ -487,6 +489,6 @@
         }
         let key = rows::progress_key(id);
         let end = key.key.clone() + "~";
-        self.store.page(&key.table, &key.part, &key.key, Some(&end), FOUND_ROWS).await
+        self.store.page(&key.table, &key.part, &key.key, Some(&end), MAX_JOB_ROWS).await
     }
 }
--- a/src/control/mirror/state.rs
+++ b/src/control/mirror/state.rs
@@ -42,7 +42,7 @@
     pub readings: BTreeMap<Table, Reading>,
     /// When the last successful poll of a table's feed was sent, local ms.
     pub polled: BTreeMap<Table, u64>,
-    /// Latency of the last poll without changes, beyond the wait it asked for, ms.
+    /// Latency of the last poll without changes, less the wait that it requested, ms.
     pub latency: u64,
     /// Chooses the size of slices of full reads.
     pub sizer: SliceSizer,
@@ -108,7 +108,7 @@
     }
 
     /// Applies a page of a table that is being read.
-    pub fn apply_page(&mut self, table: Table, part: &str, page: Page) {
+    pub fn apply_page(&mut self, table: Table, partition: &str, page: Page) {
         if !self.readings.contains_key(&table) {
             // The table was discarded while the page was in flight.
             return;
@@ -122,15 +122,16 @@
         let count = page.rows.len();
         let last = page.rows.last().map(|r| r.key.key.clone());
         // The next page starts with the last row of this one, which is harmless.
-        let next = last.filter(|_| page.more && count > 1);
+        let next = last.filter(|_| page.has_more && count > 1);
         for row in page.rows {
             self.put(table, row);
         }
         if let Some(reading) = self.readings.get_mut(&table) {
-            reading.record_page(part, count, next);
+            reading.record_page(partition, count, next);
         }
     }
 
+    /// Sends a change to the scheduler, if it runs on this instance.
     pub fn notify(&self, update: Update) {
         if let Some(tx) = &self.subscriber {
             // The scheduler's channel is unbounded and closed only when it steps down.
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Passes on a registry entry. One that is unreadable, or was written by another program,
-    /// counts as removed.
+    /// Sends a registry entry to the scheduler. One that is unreadable, or was written by another
+    /// program, counts as removed.
     fn put_runner(&mut self, row: Row) {
         let id = row.key.key;
         if let Some(reading) = self.readings.get_mut(&Table::Registry) {
@@ -170,7 +171,7 @@
         let entry = runners::entry(&row.value);
         if let Err(why) = &entry {
             metrics::counter!("control_bad_entries").increment(1);
-            // Logged once an entry: a runner rewrites its entry with each heartbeat.
+            // Logged once for each entry: a runner rewrites its entry with each heartbeat.
             if self.logged.len() < MAX_LOGGED_ENTRIES && self.logged.insert(id.clone()) {
                 log::warn!(runner = id, version = row.version, why:% = why;
                     "registry entry names no runner");
--- a/src/control/ports.rs
+++ b/src/control/ports.rs
@@ -78,7 +78,7 @@
 pub enum ReadError {
     /// The feed no longer has these changes; the table must be read in full.
     #[error("changes are no longer available")]
-    HistoryGone,
+    HistoryExpired,
     /// Refused with this status.
     #[error("refused with status {0}")]
     Refused(u16),
@@ -96,7 +96,7 @@
     /// The rows.
     pub rows: Vec<Row>,
     /// Whether more rows follow.
-    pub more: bool,
+    pub has_more: bool,
     /// The store's newest version at the time of the read.
     pub version: u64,
 }
@@ -107,7 +107,7 @@
     /// Written.
     Put(Row),
     /// Removed.
-    Gone(Key),
+    Removed(Key),
 }
 
 /// Changes of a table in order.
@@ -289,11 +289,11 @@
 #[tide::utils::async_trait]
 pub trait Runners: Send + Sync + 'static {
     /// Starts a task; repeating an order that was carried out is not an error.
-    async fn start(&self, to: &RunnerCall, s: &StartOrder) -> Result<u64, Refusal>;
+    async fn start(&self, to: &RunnerCall, order: &StartOrder) -> Result<u64, Refusal>;
     /// Stops a task; if it has not started, its start is refused from then on.
-    async fn stop(&self, to: &RunnerCall, o: &StopOrder) -> Result<u64, Refusal>;
+    async fn stop(&self, to: &RunnerCall, order: &StopOrder) -> Result<u64, Refusal>;
     /// Extends the lease and returns the active runs and completions.
-    async fn poll(&self, to: &RunnerCall, h: &PollRequest) -> Result<Report, Refusal>;
+    async fn poll(&self, to: &RunnerCall, request: &PollRequest) -> Result<Report, Refusal>;
 }
 
 /// Permission to run a step on a runner.
--- a/src/entry/sched/mod.rs
+++ b/src/entry/sched/mod.rs
@@ -1,10 +1,10 @@
 //! The scheduler of one entry instance.
 //!
 //! Each round polls the workers of the shards held, which extends task leases and returns
-//! completions, and plans on cached rows ([`plan`], [`completions`], [`serve`] and the modules that
-//! they call). It commits the changes of all shards in one fenced transaction ([`commit`]), because
+//! completions, and plans on cached rows (`plan`, `completions`, `serve` and the modules that
+//! they call). It commits the changes of all shards in one fenced transaction (`commit`), because
 //! the table's write budget is the scarcest resource, and then sends the starts and stops
-//! ([`orders`]). A newly acquired shard is loaded ([`load`]) and reconciled with the tasks that its
+//! (`orders`). A newly acquired shard is loaded (`load`) and reconciled with the tasks that its
 //! workers report as running.
 
 mod commit;
@@ -39,7 +39,8 @@
 /// Time for which a failing worker is avoided, ms.
 pub const AVOID_MS: u64 = 30_000;
 
-/// Most commit attempts in one round; each conflict is followed by a new plan.
+/// Most commit attempts in one round; each conflict is followed by a new plan. After the last
+/// attempt the shards are planned again in the next round.
 const MAX_COMMIT_ATTEMPTS: u32 = 4;
 
 /// The resources committed on one worker: the sum of its placement rows. Only the shard's holder
--- a/tests/common/control/work.rs
+++ b/tests/common/control/work.rs
@@ -16,15 +16,15 @@
 
 /// Completion of a run at `now`, if it ends, on a runner whose lease has not expired: `complete` if
 /// all members of its gang run, `all_done` if all of them have done their work.
-fn end_of(x: &Running, complete: bool, all_done: bool, now: u64) -> Option<EndKind> {
-    let finished = x.work_done >= x.total_work && x.stopping.is_none();
-    if x.stopping.is_some_and(|at| at <= now) {
+fn end_of(run: &Running, complete: bool, all_done: bool, now: u64) -> Option<EndKind> {
+    let finished = run.work_done >= run.total_work && run.stopping.is_none();
+    if run.stopping.is_some_and(|at| at <= now) {
         Some(EndKind::Stopped)
-    } else if finished && x.fails {
+    } else if finished && run.fails {
         Some(EndKind::Failed)
     } else if finished && all_done {
         Some(EndKind::Done)
-    } else if !complete && x.work_done == 0 && x.started + MEMBER_WAIT_MS <= now {
+    } else if !complete && run.work_done == 0 && run.started + MEMBER_WAIT_MS <= now {
         Some(EndKind::Alone)
     } else {
         None
@@ -73,8 +73,8 @@
     /// Number of running members of each gang, and whether all of them have done their work.
     fn gangs(&self) -> BTreeMap<(StepId, Attempt), Gang> {
         let mut out: BTreeMap<(StepId, Attempt), Gang> = BTreeMap::new();
-        let up = self.runners.iter().filter(|r| r.exists);
-        for (task, x) in up.flat_map(|r| &r.running).filter(|(_, x)| x.gang.is_some()) {
+        let existing = self.runners.iter().filter(|r| r.exists);
+        for (task, x) in existing.flat_map(|r| &r.running).filter(|(_, x)| x.gang.is_some()) {
             let gang =
                 out.entry((task.step, x.attempt)).or_insert(Gang { present: 0, all_done: true });
             gang.present += 1;
@@ -85,19 +85,19 @@
 
     fn break_gangs(&mut self, broken: &BTreeSet<(StepId, Attempt)>) {
         for r in self.runners.iter_mut().filter(|r| r.exists && !broken.is_empty()) {
-            let of = |(task, x): (&TaskId, &Running)| {
-                let hit = x.gang.is_some() && broken.contains(&(task.step, x.attempt));
-                hit.then_some(*task)
+            let broken_task = |(task, x): (&TaskId, &Running)| {
+                let is_broken = x.gang.is_some() && broken.contains(&(task.step, x.attempt));
+                is_broken.then_some(*task)
             };
-            let tasks: Vec<TaskId> = r.running.iter().filter_map(of).collect();
+            let tasks: Vec<TaskId> = r.running.iter().filter_map(broken_task).collect();
             tasks.into_iter().for_each(|t| r.end(t, EndKind::Broken));
         }
     }
 
     /// Crashes a runner: its runs are gone, and calls to it are not answered.
     pub fn crash(&mut self, i: usize) {
-        let of = |(task, x): (&TaskId, &Running)| x.gang.map(|_| (task.step, x.attempt));
-        let broken = self.runners[i].running.iter().filter_map(of).collect();
+        let gang_of = |(task, x): (&TaskId, &Running)| x.gang.map(|_| (task.step, x.attempt));
+        let broken = self.runners[i].running.iter().filter_map(gang_of).collect();
         self.runners[i].exists = false;
         self.runners[i].running.clear();
         self.break_gangs(&broken);
@@ -107,8 +107,9 @@
     pub fn break_gang(&mut self, job: JobId, step: u32) {
         let id = StepId { job, occurrence: 0, step };
         let running = self.runners.iter().flat_map(|r| &r.running);
-        let of = |(task, x): (&TaskId, &Running)| (task.step == id).then_some((id, x.attempt));
-        let broken = running.filter_map(of).collect();
+        let attempt_of =
+            |(task, x): (&TaskId, &Running)| (task.step == id).then_some((id, x.attempt));
+        let broken = running.filter_map(attempt_of).collect();
         self.break_gangs(&broken);
     }
 }
--- a/tests/control_leader.rs
+++ b/tests/control_leader.rs
@@ -1,4 +1,5 @@
-//! The leader beside the other tasks of its process.
+//! Fairness of the leader under load: towards the other tasks of its process, and between planning
+//! and events.
 
 use currantgw::control::election::{Election, Term};
 use currantgw::control::engine::Rules;
@@ -31,13 +32,14 @@
 /// Longest time that one poll may block the process: a link times out after 1.2 s.
 const MAX_POLL: Duration = Duration::from_millis(250);
 
-/// Version of all rows and answers of the store.
+/// Version of all answers of the store.
 const VERSION: u64 = 7;
 
 /// Number of cancellations of unknown jobs, which are cheap events.
 const CHEAP_EVENTS: u64 = 300_000;
 
-/// Number of jobs that wait for runners while there are none: planning takes many times 8 ms.
+/// Number of jobs that wait for runners while there are none: planning takes many times the 8 ms of
+/// a round.
 const WAITING_JOBS: u64 = 6_000;
 
 /// A store that holds only a configuration and answers at once.
@@ -66,7 +68,7 @@
         _: usize,
     ) -> Result<Page, ReadError> {
         let rows = if table == "op" { vec![config()] } else { Vec::new() };
-        Ok(Page { rows, more: false, version: VERSION })
+        Ok(Page { rows, has_more: false, version: VERSION })
     }
 
     async fn changes(&self, _: &str, _: u64, wait_ms: u64) -> Result<Changes, ReadError> {
@@ -168,7 +170,8 @@
     let clock = Clock::real();
     let (_trigger, stop) = stop::pair();
     let leader = leader(&clock, Arc::default());
-    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; partitions::COUNT] }, &stop));
+    let mut serve =
+        Box::pin(leader.serve(Term { fence: 5, fence_versions: [5; partitions::COUNT] }, &stop));
     longest_poll(&mut serve, Duration::from_millis(200));
     for id in 0..EVENTS {
         leader.mirror.put_cancel(JobId(id));
@@ -185,7 +188,8 @@
     let store = Arc::new(Empty::default());
     let leader = leader(&clock, store.clone());
     async_std::task::block_on(leader.mirror.poll(Table::Config, 0)).unwrap();
-    let mut serve = Box::pin(leader.serve(Term { fence: 5, parts: [5; partitions::COUNT] }, &stop));
+    let mut serve =
+        Box::pin(leader.serve(Term { fence: 5, fence_versions: [5; partitions::COUNT] }, &stop));
     longest_poll(&mut serve, Duration::from_millis(100));
     let steps = vec![Step { count: 1, ..Step::default() }];
     let spec = JobSpec { steps, ..JobSpec::default() };
--- a/tests/control_store_backlog.rs
+++ b/tests/control_store_backlog.rs
@@ -12,11 +12,11 @@
 use currantgw::control::partitions::{Partition, PartitionScope};
 use currantgw::kernel::res::Resources;
 
-/// Time of a transaction of one partition and latency of a call on a healthy store, ms.
-const HEALTHY: StoreTimes = StoreTimes { txn: 3, way: 4 };
+/// Times of a healthy store.
+const HEALTHY: StoreTimes = StoreTimes { txn: 3, round_trip: 4 };
 
 /// Times of a store that is sixty times too slow.
-const SLOW: StoreTimes = StoreTimes { txn: 180, way: 240 };
+const SLOW: StoreTimes = StoreTimes { txn: 180, round_trip: 240 };
 
 /// Upper bound of a commit of a healthy store, ms.
 const QUICK_MS: u64 = 50;
@@ -24,7 +24,7 @@
 /// Approval costs of the queue of lookups: a request takes 30 ms.
 const LOOKUPS: Approval = Approval { base_ms: 20.0, each_ms: 1.0, valid_ms: 2_000 };
 
-fn part(n: usize) -> Partition {
+fn partition(n: usize) -> Partition {
     Partition::all().nth(n).unwrap()
 }
 
@@ -43,18 +43,21 @@
 }
 
 #[test]
-fn a_quick_store_takes_all_parts_in_one_transaction() {
+fn a_quick_store_takes_all_partitions_in_one_transaction() {
     let mut batching = CommitBatching::new(true, 0);
     assert!(batching.next(|_| false, 0).is_none());
     assert_eq!(start_commits(&mut batching, |_| true, 0), [PartitionScope::All; 3]);
     batching.record_outcome(PartitionScope::All, true, 0, QUICK_MS);
-    assert_eq!(start_commits(&mut batching, |p| p == part(3), QUICK_MS), [PartitionScope::All]);
+    assert_eq!(
+        start_commits(&mut batching, |p| p == partition(3), QUICK_MS),
+        [PartitionScope::All]
+    );
 }
 
 /// Guards against placements that wait for seconds on a store sixty times too slow: a commit takes
 /// 0.5 s, and transactions of different partitions need not wait for each other.
 #[test]
-fn a_slow_store_takes_each_part_by_itself() {
+fn a_slow_store_takes_each_partition_by_itself() {
     let mut batching = CommitBatching::new(true, 0);
     batching.record_sent(PartitionScope::All, 0);
     batching.record_outcome(PartitionScope::All, true, 0, QUICK_MS + 1);
@@ -76,29 +79,30 @@
 
 /// An unavailable partition delays only its own changes, and is tried again after a short delay.
 #[test]
-fn an_unavailable_part_delays_only_itself() {
+fn an_unavailable_partition_delays_only_itself() {
     let mut batching = CommitBatching::new(true, 0);
     batching.record_sent(PartitionScope::All, 0);
     batching.record_outcome(PartitionScope::All, false, 0, 900);
     assert_eq!(start_commits(&mut batching, |_| true, 960).len(), Partition::all().count());
     for p in Partition::all() {
-        batching.record_outcome(PartitionScope::One(p), p != part(0), 960, 970);
+        batching.record_outcome(PartitionScope::One(p), p != partition(0), 960, 970);
     }
     let sent = start_commits(&mut batching, |_| true, 1_000);
     assert!(
-        !sent.contains(&PartitionScope::One(part(0))) && sent.len() == Partition::all().count() - 1
+        !sent.contains(&PartitionScope::One(partition(0)))
+            && sent.len() == Partition::all().count() - 1
     );
-    assert!(start_commits(&mut batching, |p| p == part(0), 1_030)
-        .contains(&PartitionScope::One(part(0))));
+    assert!(start_commits(&mut batching, |p| p == partition(0), 1_030)
+        .contains(&PartitionScope::One(partition(0))));
 }
 
 /// A store that accepts no transactions over several partitions is sent none.
 #[test]
-fn parts_are_written_separately_without_cross_part_transactions() {
+fn partitions_are_written_separately_without_cross_partition_transactions() {
     let mut batching = CommitBatching::new(false, 0);
     assert_eq!(
         start_commits(&mut batching, |p| p.index() < 2, 0),
-        [PartitionScope::One(part(0)), PartitionScope::One(part(1))]
+        [PartitionScope::One(partition(0)), PartitionScope::One(partition(1))]
     );
 }
 
@@ -109,7 +113,7 @@
     batching.record_sent(PartitionScope::All, 0);
     batching.record_outcome(PartitionScope::All, false, 0, 1_000);
     assert!(!batching.is_expired(10_000) && batching.is_expired(10_001));
-    batching.acknowledged(5_000);
+    batching.record_ack(5_000);
     assert!(!batching.is_expired(15_000) && batching.is_expired(15_001));
 }
 
@@ -131,7 +135,7 @@
     /// Over all partitions in turn.
     Spread,
     /// In one partition.
-    OnePart,
+    OnePartition,
 }
 
 /// Results of the lookups that arrived within one second.
@@ -153,7 +157,7 @@
             let number = (from + s) * 1_000 + n + 1;
             let id = match ids {
                 Ids::Spread => number << 48 | number | (number % 8) << 61,
-                Ids::OnePart => number,
+                Ids::OnePartition => number,
             };
             arrived.push((cell.submit(id, "lookups", vec![step(1, 1_000, 600)]), cell.now));
             cell.run(1_000 / per_s);
@@ -175,7 +179,7 @@
 /// store sixty times too slow carries out five transactions a second in each partition, some 240
 /// rows, and twice as many change; with all progress in one partition they queue.
 #[test]
-fn a_burst_on_a_slow_store_is_stored_in_several_parts() {
+fn a_burst_on_a_slow_store_is_stored_in_several_partitions() {
     let mut cell = cell();
     cell.times = Some(SLOW);
     let seconds = run_lookups(&mut cell, Ids::Spread, 0, 6, 200);
@@ -191,9 +195,9 @@
 #[test]
 fn decisions_do_not_outrun_the_store() {
     let mut cell = cell();
-    let baseline = run_lookups(&mut cell, Ids::OnePart, 0, 2, 200);
+    let baseline = run_lookups(&mut cell, Ids::OnePartition, 0, 2, 200);
     cell.times = Some(SLOW);
-    let slow = run_lookups(&mut cell, Ids::OnePart, 10, 6, 200);
+    let slow = run_lookups(&mut cell, Ids::OnePartition, 10, 6, 200);
     let most_requests = slow.iter().map(|s| s.requests).max().unwrap();
     assert!(
         most_requests <= 2 * baseline[0].requests,
@@ -201,7 +205,7 @@
         baseline[0].requests
     );
     cell.times = Some(HEALTHY);
-    let after = run_lookups(&mut cell, Ids::OnePart, 30, 3, 200);
+    let after = run_lookups(&mut cell, Ids::OnePartition, 30, 3, 200);
     assert!(
         after[2].wait <= 2 * baseline[0].wait,
         "{} ms, {} before",
@@ -213,9 +217,9 @@
 
 /// An unavailable partition delays its own jobs, and they start once it is available again.
 #[test]
-fn jobs_of_an_unavailable_part_start_when_it_recovers() {
+fn jobs_of_an_unavailable_partition_start_when_it_recovers() {
     let mut cell = cell();
-    cell.unavailable = Some(part(0));
+    cell.unavailable = Some(partition(0));
     let lost = cell.submit(1, "lookups", vec![step(1, 1_000, 600)]);
     let other = cell.submit(u64::MAX, "lookups", vec![step(1, 1_000, 600)]);
     cell.run(3_000);
